--- a/Hallchute/src/Ledger/OnceAttempt.cpp
+++ b/Hallchute/src/Ledger/OnceAttempt.cpp
@@ -8,7 +8,7 @@
 namespace Hallchute {
 namespace {
 
-constexpr int kMaxTries = 4;
+constexpr int kMaxWriteAttempts = 4;
 constexpr Millis kPlatformRetryAfter{1'000};
 constexpr Millis kInProgressRetryAfter{500};
 
@@ -52,7 +52,7 @@
 
 OnceStep OnceAttempt::onWritten(const RecordWritten& event) {
   version_ = event.version;
-  if (stage_ == Stage::storing) return conclude(true);
+  if (stage_ == Stage::storing) return answerWithRecord(true);
   stage_ = Stage::dispatching;
   return DispatchOnce{};
 }
@@ -62,44 +62,44 @@
 }
 
 OnceStep OnceAttempt::onWriteUnknown() {
-  if (++tries_ >= kMaxTries) {
-    return stage_ == Stage::storing ? conclude(false) : OnceStep(platformOut(true));
+  if (++writeAttempts_ >= kMaxWriteAttempts) {
+    return stage_ == Stage::storing ? answerWithRecord(false) : OnceStep(platformOut(true));
   }
   return ReadRecord{};
 }
 
 OnceStep OnceAttempt::onWriteRefused() {
-  if (stage_ == Stage::storing) return conclude(false);
+  if (stage_ == Stage::storing) return answerWithRecord(false);
   // An earlier try of this attempt may have taken effect all the same.
-  return platformOut(tries_ > 0);
+  return platformOut(writeAttempts_ > 0);
 }
 
 OnceStep OnceAttempt::onReadFailed() {
-  if (stage_ == Stage::storing) return conclude(false);
+  if (stage_ == Stage::storing) return answerWithRecord(false);
   return platformOut(true);
 }
 
 OnceStep OnceAttempt::onAbsent() {
-  if (++tries_ >= kMaxTries) {
-    return stage_ == Stage::storing ? conclude(false) : OnceStep(platformOut(true));
+  if (++writeAttempts_ >= kMaxWriteAttempts) {
+    return stage_ == Stage::storing ? answerWithRecord(false) : OnceStep(platformOut(true));
   }
   ifVersion_ = 0;
   return WriteRecord{record_, 0};
 }
 
 OnceStep OnceAttempt::onFound(const RecordFound& event) {
-  const bool mine = event.record.attempt == record_.attempt;
+  const bool ownAttempt = event.record.attempt == record_.attempt;
   if (stage_ == Stage::storing) {
-    if (!mine || event.record.state == record_.state) return conclude(true);
+    if (!ownAttempt || event.record.state == record_.state) return answerWithRecord(true);
     return WriteRecord{record_, event.version};
   }
-  if (!mine) return judgeOther(event);
+  if (!ownAttempt) return onOtherAttempt(event);
   version_ = event.version;
   stage_ = Stage::dispatching;
   return DispatchOnce{};
 }
 
-OnceStep OnceAttempt::judgeOther(const RecordFound& event) {
+OnceStep OnceAttempt::onOtherAttempt(const RecordFound& event) {
   const OnceRecord& other = event.record;
   if (other.digest != record_.digest) {
     return RefuseOnce{{RefusalReason::keyReused, "the Idempotency-Key was used for another request",
@@ -112,7 +112,7 @@
     case OnceState::unknown:
       return RefuseOnce{unknownOutcome("an earlier attempt may have run: " + other.body), false};
     case OnceState::abandoned:
-      if (++tries_ >= kMaxTries) return platformOut(false);
+      if (++writeAttempts_ >= kMaxWriteAttempts) return platformOut(false);
       return WriteRecord{record_, event.version};
     case OnceState::started:
       break;
@@ -135,7 +135,7 @@
 OnceStep OnceAttempt::finish(OnceState state, int status, std::string contentType,
                              std::string body) {
   stage_ = Stage::storing;
-  tries_ = 0;
+  writeAttempts_ = 0;
   record_.state = state;
   record_.status = status;
   record_.contentType = std::move(contentType);
@@ -143,7 +143,7 @@
   return WriteRecord{record_, version_};
 }
 
-OnceStep OnceAttempt::conclude(bool stored) const {
+OnceStep OnceAttempt::answerWithRecord(bool stored) const {
   return AnswerWithRecord{record_, !stored};
 }
 
--- a/Hallchute/src/Ledger/OnceAttempt.h
+++ b/Hallchute/src/Ledger/OnceAttempt.h
@@ -42,14 +42,14 @@
   OnceStep onReadFailed();
   OnceStep onNeverSent(const DispatchNeverSent& event);
   OnceStep finish(OnceState state, int status, std::string contentType, std::string body);
-  OnceStep conclude(bool stored) const;
-  OnceStep judgeOther(const RecordFound& event);
+  OnceStep answerWithRecord(bool stored) const;
+  OnceStep onOtherAttempt(const RecordFound& event);
 
   OnceRecord record_;
   Stage stage_ = Stage::creating;
   std::uint64_t version_ = 0;
   std::uint64_t ifVersion_ = 0;
-  int tries_ = 0;
+  int writeAttempts_ = 0;
 };
 
 /// \brief The refusal for work that may have run with no answer known.
--- a/Hallchute/src/Ledger/OnceRecord.cpp
+++ b/Hallchute/src/Ledger/OnceRecord.cpp
@@ -16,7 +16,7 @@
 namespace {
 
 constexpr std::array<std::string_view, 4> kStates{"started", "done", "unknown", "abandoned"};
-constexpr std::int64_t kMaxMs = INT64_MAX;
+constexpr std::int64_t kMaxMillis = INT64_MAX;
 
 std::string encode(const std::string& bytes) {
   std::ostringstream out;
@@ -35,9 +35,9 @@
   return out.str();
 }
 
-OnceState stateNamed(const std::string& word) {
+OnceState parseState(const std::string& name) {
   for (std::size_t i = 0; i < kStates.size(); ++i) {
-    if (kStates[i] == word) return static_cast<OnceState>(i);
+    if (kStates[i] == name) return static_cast<OnceState>(i);
   }
   return OnceState::unknown;
 }
@@ -70,12 +70,12 @@
   record.attempt = reader.text("attempt", true);
   record.digest = reader.text("digest", true);
   record.holder = DaemonId(reader.text("holder", true));
-  record.state = stateNamed(reader.oneOf("state", kStates));
+  record.state = parseState(reader.oneOf("state", kStates));
   record.status = static_cast<int>(reader.integer("status", 0, 599, 0));
   record.contentType = reader.text("contentType", false);
   record.body = decode(reader.text("body", false));
-  record.startedAtMs = reader.integer("startedAtMs", 0, kMaxMs, 0);
-  record.lifetimeMs = reader.integer("lifetimeMs", 0, kMaxMs, 0);
+  record.startedAtMs = reader.integer("startedAtMs", 0, kMaxMillis, 0);
+  record.lifetimeMs = reader.integer("lifetimeMs", 0, kMaxMillis, 0);
   return record;
 }
 
--- a/Hallchute/src/Membership/HostListEntry.h
+++ b/Hallchute/src/Membership/HostListEntry.h
@@ -13,17 +13,17 @@
 
 namespace Hallchute {
 
-/// \brief What a host is for.
+/// \brief The role of a host.
 /// \ingroup Membership
 enum class HostRole : std::uint8_t { entry, upstream };
 
-/// \brief A line of the platform's host list.
+/// \brief An entry of the platform's host list.
 /// \ingroup Membership
 struct HostListEntry {
   HostId host;
   HostRole role = HostRole::upstream;
   DomainName domain;
-  /// `ip:port`; for an entry host the address for its peers.
+  /// `ip:port`; for an entry host, the address that its peers use.
   std::string address;
   /// Empty for an entry host.
   ServiceName service;
@@ -31,7 +31,7 @@
   /// Price in millionths of the currency per hour.
   std::int64_t pricePerHour = 0;
   bool reclaimable = true;
-  /// Set once the host is to go.
+  /// Time until the host leaves; set once its leave is scheduled.
   std::optional<Millis> leavesIn;
 };
 
--- a/Hallchute/src/Membership/Member.h
+++ b/Hallchute/src/Membership/Member.h
@@ -12,34 +12,36 @@
 
 namespace Hallchute {
 
-/// \brief The life of a daemon as its peers see it. A later state wins at the same incarnation.
+/// \brief Membership state of a daemon as its peers see it.
+///
+/// At equal incarnations the state declared later here takes precedence.
 /// \ingroup Membership
 enum class MemberState : std::uint8_t { alive, suspect, leaving, dead };
 
-/// \brief What one daemon tells another about a daemon.
+/// \brief The status of a daemon as exchanged by gossip.
 /// \ingroup Membership
 struct MemberNews {
   DaemonId id;
   DomainName domain;
-  /// Where its peers reach it, `ip:port`.
+  /// The address for its peers, `ip:port`.
   std::string address;
-  /// Raised by the member itself, to refute what is said of it; starts at its start time.
+  /// Raised only by the member itself, to refute a suspicion; starts at its start time.
   std::uint64_t incarnation = 0;
   MemberState state = MemberState::alive;
-  /// The settings revision in force there, as last heard.
+  /// The settings revision in force at the member, as last reported.
   std::uint64_t revision = 0;
-  /// The version of the host list known there, as last heard.
+  /// The version of its host list, as last reported.
   std::uint64_t hostsVersion = 0;
 };
 
-/// \brief A daemon in the table of another.
+/// \brief An entry of a daemon's member table.
 /// \ingroup Membership
 struct Member {
   MemberNews news;
-  /// When its state was last changed here.
-  Instant since{};
-  /// When it last answered this daemon itself.
-  Instant heard{};
+  /// When its state last changed in this table.
+  Instant stateSince{};
+  /// When this daemon last received a message from the member itself.
+  Instant lastReceived{};
 };
 
 }  // namespace Hallchute
--- a/Hallchute/src/Membership/Membership.cpp
+++ b/Hallchute/src/Membership/Membership.cpp
@@ -9,12 +9,12 @@
 namespace Hallchute {
 namespace {
 
-/// How often an item is said, per doubling of the number of members.
-constexpr std::size_t kSayFactor = 3;
-/// A leave is remembered this long past its end, so that late news don't start it anew.
-constexpr Millis kLeaveMemory{60'000};
+/// Transmissions of an update per doubling of the number of members.
+constexpr std::size_t kRetransmitFactor = 3;
+/// How long a leave is kept past its end, so that a late message does not announce it again.
+constexpr Millis kLeaveRetention{60'000};
 
-bool owns(MemberState state) {
+bool mayOwnShards(MemberState state) {
   return state == MemberState::alive || state == MemberState::suspect;
 }
 
@@ -27,212 +27,215 @@
   if (address != self_.address) seeds_.insert(address);
 }
 
-std::size_t Membership::sayLimit() const {
+std::size_t Membership::retransmitLimit() const {
   const double doublings = std::ceil(std::log2(static_cast<double>(members_.size() + 2)));
-  return kSayFactor * static_cast<std::size_t>(doublings);
+  return kRetransmitFactor * static_cast<std::size_t>(doublings);
 }
 
 std::vector<MembershipAction> Membership::tick(Instant now) {
   std::vector<MembershipAction> actions;
-  const bool first = lastTick_ == Instant{};
+  const bool isFirstTick = lastTick_ == Instant{};
   const auto gap = std::chrono::duration_cast<Millis>(now - lastTick_);
   lastTick_ = now;
-  if (!first && gap >= policy_.pauseLimit) {
+  if (!isFirstTick && gap >= policy_.pauseThreshold) {
     ++self_.incarnation;
     outstanding_.clear();
-    for (auto& [id, member] : members_) member.since = now;
+    for (auto& [id, member] : members_) member.stateSince = now;
     actions.emplace_back(WokeOutdated{gap});
   }
-  expire(now, actions);
+  expireTimeouts(now, actions);
   if (now < nextProbe_) return actions;
   nextProbe_ = now + policy_.period;
   ++periods_;
   if (const Member* target = nextTarget(false)) probe(*target, now, actions);
-  if (periods_ % policy_.foreignEvery == 0) {
+  if (periods_ % policy_.otherDomainPeriods == 0) {
     if (const Member* target = nextTarget(true)) probe(*target, now, actions);
   }
   for (const std::string& address : seeds_) actions.emplace_back(SendProbe{DaemonId(), address});
   return actions;
 }
 
-void Membership::expire(Instant now, std::vector<MembershipAction>& actions) {
-  bool changed = false;
+void Membership::expireTimeouts(Instant now, std::vector<MembershipAction>& actions) {
+  bool ownersChanged = false;
   for (auto it = outstanding_.begin(); it != outstanding_.end();) {
-    if (now - it->second.since < policy_.answerLimit) {
+    if (now - it->second.sentAt < policy_.probeTimeout) {
       ++it;
       continue;
     }
     const auto member = members_.find(it->first);
-    const bool own = member != members_.end() && member->second.news.domain == self_.domain;
-    if (own && member->second.news.state == MemberState::alive) {
+    const bool inOwnDomain = member != members_.end() && member->second.news.domain == self_.domain;
+    if (inOwnDomain && member->second.news.state == MemberState::alive) {
       setState(member->second, MemberState::suspect, now);
     }
     it = outstanding_.erase(it);
   }
   for (auto it = members_.begin(); it != members_.end();) {
     Member& member = it->second;
-    const bool own = member.news.domain == self_.domain;
-    const bool wasOwner = owns(member.news.state);
-    if (own && member.news.state == MemberState::suspect &&
-        now - member.since >= policy_.suspicion) {
+    const bool inOwnDomain = member.news.domain == self_.domain;
+    const bool couldOwnShards = mayOwnShards(member.news.state);
+    if (inOwnDomain && member.news.state == MemberState::suspect &&
+        now - member.stateSince >= policy_.suspicionTimeout) {
       setState(member, MemberState::dead, now);
-      changed = changed || wasOwner;
+      ownersChanged = ownersChanged || couldOwnShards;
     }
-    const bool forget =
-        member.news.state == MemberState::dead && now - member.since >= policy_.deadMemory;
-    it = forget ? members_.erase(it) : std::next(it);
+    const bool expired = member.news.state == MemberState::dead &&
+                         now - member.stateSince >= policy_.deadMemberRetention;
+    it = expired ? members_.erase(it) : std::next(it);
   }
-  std::erase_if(leaves_, [&](const auto& entry) { return now >= entry.second.end + kLeaveMemory; });
-  if (changed) actions.emplace_back(OwnersChanged{});
+  std::erase_if(leaves_,
+                [&](const auto& entry) { return now >= entry.second.end + kLeaveRetention; });
+  if (ownersChanged) actions.emplace_back(OwnersChanged{});
 }
 
 void Membership::setState(Member& member, MemberState state, Instant now) {
   member.news.state = state;
-  member.since = now;
-  rumours_[member.news.id] = Rumour{};
+  member.stateSince = now;
+  pendingUpdates_[member.news.id] = PendingUpdate{};
 }
 
-const Member* Membership::nextTarget(bool foreign) {
+const Member* Membership::nextTarget(bool otherDomain) {
   const auto eligible = [&](const Member& member) {
     return member.news.state != MemberState::dead &&
-           (member.news.domain != self_.domain) == foreign;
+           (member.news.domain != self_.domain) == otherDomain;
   };
-  if (foreign) {
+  if (otherDomain) {
     std::vector<const Member*> found;
     for (const auto& [id, member] : members_) {
       if (eligible(member)) found.push_back(&member);
     }
     return found.empty() ? nullptr : found[random_() % found.size()];
   }
-  // Each member once a round, in a new random order each round, bounds the time to detection.
+  // Probing each member once per round, in a new random order, bounds the failure detection time.
   for (int rounds = 0; rounds < 2; ++rounds) {
-    while (!round_.empty()) {
-      const auto it = members_.find(round_.back());
-      round_.pop_back();
+    while (!probeOrder_.empty()) {
+      const auto it = members_.find(probeOrder_.back());
+      probeOrder_.pop_back();
       if (it != members_.end() && eligible(it->second)) return &it->second;
     }
     for (const auto& [id, member] : members_) {
-      if (eligible(member)) round_.push_back(id);
+      if (eligible(member)) probeOrder_.push_back(id);
     }
-    std::shuffle(round_.begin(), round_.end(), random_);
+    std::shuffle(probeOrder_.begin(), probeOrder_.end(), random_);
   }
   return nullptr;
 }
 
 void Membership::probe(const Member& member, Instant now, std::vector<MembershipAction>& actions) {
-  outstanding_.emplace(member.news.id, Outstanding{now});
+  outstanding_.emplace(member.news.id, OutstandingProbe{now});
   actions.emplace_back(SendProbe{member.news.id, member.news.address});
 }
 
-std::uint64_t Membership::knownAlive() const {
+std::uint64_t Membership::memberCount() const {
   const auto alive = std::count_if(members_.begin(), members_.end(), [](const auto& entry) {
     return entry.second.news.state != MemberState::dead;
   });
   return static_cast<std::uint64_t>(alive) + 1;
 }
 
-/// A peer that lags behind is told a random part of all members, rumour or not.
-void Membership::addForJoiner(NewsBatch& batch) {
+/// Adds a random subset of all members, whether or not they have pending updates.
+void Membership::addRandomMembers(NewsBatch& message) {
   std::vector<const Member*> all;
   for (const auto& [id, member] : members_) {
     if (member.news.state != MemberState::dead) all.push_back(&member);
   }
   std::shuffle(all.begin(), all.end(), random_);
-  if (all.size() > policy_.membersForJoiner) all.resize(policy_.membersForJoiner);
-  for (const Member* member : all) batch.members.push_back(member->news);
+  if (all.size() > policy_.membersForLaggingPeer) all.resize(policy_.membersForLaggingPeer);
+  for (const Member* member : all) message.members.push_back(member->news);
 }
 
-NewsBatch Membership::compose(Instant now, std::uint64_t peerKnows) {
-  NewsBatch batch;
-  batch.sender = self_;
-  batch.known = knownAlive();
-  if (peerKnows < batch.known) {
-    addForJoiner(batch);
-    return batch;
+NewsBatch Membership::compose(Instant now, std::uint64_t peerMemberCount) {
+  NewsBatch message;
+  message.sender = self_;
+  message.known = memberCount();
+  if (peerMemberCount < message.known) {
+    addRandomMembers(message);
+    return message;
   }
-  const std::size_t limit = sayLimit();
-  std::vector<std::pair<std::size_t, DaemonId>> fresh;
-  for (const auto& [id, rumour] : rumours_) fresh.emplace_back(rumour.said, id);
-  std::sort(fresh.begin(), fresh.end());
-  if (fresh.size() > policy_.membersPerBatch) fresh.resize(policy_.membersPerBatch);
-  for (const auto& [said, id] : fresh) {
+  const std::size_t limit = retransmitLimit();
+  std::vector<std::pair<std::size_t, DaemonId>> selected;
+  for (const auto& [id, update] : pendingUpdates_) selected.emplace_back(update.sendCount, id);
+  std::sort(selected.begin(), selected.end());
+  if (selected.size() > policy_.membersPerBatch) selected.resize(policy_.membersPerBatch);
+  for (const auto& [sendCount, id] : selected) {
     const auto member = members_.find(id);
-    if (member != members_.end()) batch.members.push_back(member->second.news);
-    if (member == members_.end() || said + 1 >= limit) {
-      rumours_.erase(id);
+    if (member != members_.end()) message.members.push_back(member->second.news);
+    if (member == members_.end() || sendCount + 1 >= limit) {
+      pendingUpdates_.erase(id);
     } else {
-      ++rumours_[id].said;
+      ++pendingUpdates_[id].sendCount;
     }
   }
-  // With nothing new to say, one member at random repairs what was missed.
-  if (fresh.empty() && !members_.empty()) {
+  // Without pending updates, a random member is sent to repair updates that were lost.
+  if (selected.empty() && !members_.empty()) {
     const auto offset = static_cast<std::ptrdiff_t>(random_() % members_.size());
-    batch.members.push_back(std::next(members_.begin(), offset)->second.news);
+    message.members.push_back(std::next(members_.begin(), offset)->second.news);
   }
   for (auto& [upstream, leave] : leaves_) {
-    if (leave.said >= limit || batch.leaves.size() >= policy_.leavesPerBatch) continue;
-    ++leave.said;
+    if (leave.sendCount >= limit || message.leaves.size() >= policy_.leavesPerBatch) continue;
+    ++leave.sendCount;
     const auto left = std::chrono::duration_cast<Millis>(leave.end - now);
-    batch.leaves.push_back({upstream, std::max(left, Millis(0)), leave.source});
+    message.leaves.push_back({upstream, std::max(left, Millis(0)), leave.source});
   }
-  return batch;
+  return message;
 }
 
-std::vector<MembershipAction> Membership::receive(const NewsBatch& batch, Instant now) {
+std::vector<MembershipAction> Membership::receive(const NewsBatch& message, Instant now) {
   std::vector<MembershipAction> actions;
-  seeds_.erase(batch.sender.address);
-  outstanding_.erase(batch.sender.id);
-  bool changed = false;
-  // What a joiner is told in bulk is news to nobody else.
-  const bool bulk = batch.members.size() > policy_.membersPerBatch;
-  for (const MemberNews& news : batch.members) changed = take(news, now, !bulk) || changed;
-  changed = take(batch.sender, now, true) || changed;
-  if (const auto sender = members_.find(batch.sender.id); sender != members_.end()) {
-    sender->second.heard = now;
-    sender->second.news.revision = batch.sender.revision;
-    sender->second.news.hostsVersion = batch.sender.hostsVersion;
+  seeds_.erase(message.sender.address);
+  outstanding_.erase(message.sender.id);
+  bool ownersChanged = false;
+  // Members from a full sync are already known to the other peers: not disseminated further.
+  const bool fullSync = message.members.size() > policy_.membersPerBatch;
+  for (const MemberNews& news : message.members)
+    ownersChanged = applyUpdate(news, now, !fullSync) || ownersChanged;
+  ownersChanged = applyUpdate(message.sender, now, true) || ownersChanged;
+  if (const auto sender = members_.find(message.sender.id); sender != members_.end()) {
+    sender->second.lastReceived = now;
+    sender->second.news.revision = message.sender.revision;
+    sender->second.news.hostsVersion = message.sender.hostsVersion;
     if (sender->second.news.state == MemberState::suspect) {
       setState(sender->second, MemberState::alive, now);
     }
   }
-  if (changed) actions.emplace_back(OwnersChanged{});
-  if (batch.sender.revision > self_.revision) {
-    actions.emplace_back(NewerSettings{batch.sender.address, batch.sender.revision});
+  if (ownersChanged) actions.emplace_back(OwnersChanged{});
+  if (message.sender.revision > self_.revision) {
+    actions.emplace_back(NewerSettings{message.sender.address, message.sender.revision});
   }
-  if (batch.sender.hostsVersion > self_.hostsVersion) {
-    actions.emplace_back(NewerHosts{batch.sender.address, batch.sender.hostsVersion});
+  if (message.sender.hostsVersion > self_.hostsVersion) {
+    actions.emplace_back(NewerHosts{message.sender.address, message.sender.hostsVersion});
   }
-  for (const LeaveNews& news : batch.leaves) {
-    for (MembershipAction& action : announceLeave(news, now)) actions.push_back(std::move(action));
+  for (const LeaveNews& announcement : message.leaves) {
+    for (MembershipAction& action : announceLeave(announcement, now))
+      actions.push_back(std::move(action));
   }
   return actions;
 }
 
-/// \returns whether the set of possible owners changed.
-bool Membership::take(const MemberNews& news, Instant now, bool spread) {
+/// \returns whether the set of members that may own shards changed.
+bool Membership::applyUpdate(const MemberNews& news, Instant now, bool disseminate) {
   if (news.id == self_.id) return refute(news);
   const auto [it, isNew] = members_.try_emplace(news.id, Member{news, now, Instant{}});
   Member& member = it->second;
   if (isNew) {
-    if (spread) rumours_[news.id] = Rumour{};
-    return owns(news.state);
+    if (disseminate) pendingUpdates_[news.id] = PendingUpdate{};
+    return mayOwnShards(news.state);
   }
   if (news.incarnation < member.news.incarnation) return false;
-  const bool sameLife = news.incarnation == member.news.incarnation;
-  if (sameLife && news.state <= member.news.state) {
+  const bool sameIncarnation = news.incarnation == member.news.incarnation;
+  if (sameIncarnation && news.state <= member.news.state) {
     member.news.revision = std::max(member.news.revision, news.revision);
     return false;
   }
-  const bool owned = owns(member.news.state);
+  const bool couldOwnShards = mayOwnShards(member.news.state);
   member.news = news;
-  member.since = now;
-  rumours_[news.id] = Rumour{};
-  return owned != owns(news.state) || !sameLife;
+  member.stateSince = now;
+  pendingUpdates_[news.id] = PendingUpdate{};
+  return couldOwnShards != mayOwnShards(news.state) || !sameIncarnation;
 }
 
 bool Membership::refute(const MemberNews& news) {
-  const bool wrong = news.state == MemberState::suspect || news.state == MemberState::dead;
-  if (wrong && news.incarnation >= self_.incarnation) self_.incarnation = news.incarnation + 1;
+  const bool refutable = news.state == MemberState::suspect || news.state == MemberState::dead;
+  if (refutable && news.incarnation >= self_.incarnation) self_.incarnation = news.incarnation + 1;
   return false;
 }
 
@@ -244,22 +247,24 @@
   return {};
 }
 
-std::vector<MembershipAction> Membership::announceLeave(const LeaveNews& news, Instant now) {
+std::vector<MembershipAction> Membership::announceLeave(const LeaveNews& announcement,
+                                                        Instant now) {
   std::vector<MembershipAction> actions;
-  const Instant end = now + news.remaining;
-  const auto [it, isNew] = leaves_.try_emplace(news.upstream, LeaveRumour{end, news.source, 0});
+  const Instant end = now + announcement.remaining;
+  const auto [it, isNew] =
+      leaves_.try_emplace(announcement.upstream, PendingLeave{end, announcement.source, 0});
   if (!isNew) {
     it->second.end = std::min(it->second.end, end);
     return actions;
   }
-  actions.emplace_back(LeaveHeard{news});
-  eager(now, actions);
+  actions.emplace_back(LeaveHeard{announcement});
+  probeImmediately(now, actions);
   return actions;
 }
 
-/// Urgent news don't wait for the next period: they go to a few peers at once.
-void Membership::eager(Instant now, std::vector<MembershipAction>& actions) {
-  for (std::size_t i = 0; i < policy_.eagerFanout; ++i) {
+/// Sends urgent updates to a few peers at once instead of in the next probe period.
+void Membership::probeImmediately(Instant now, std::vector<MembershipAction>& actions) {
+  for (std::size_t i = 0; i < policy_.immediateProbes; ++i) {
     if (const Member* target = nextTarget(false)) probe(*target, now, actions);
   }
 }
@@ -268,15 +273,15 @@
   std::vector<MembershipAction> actions;
   self_.state = MemberState::leaving;
   actions.emplace_back(OwnersChanged{});
-  eager(now, actions);
+  probeImmediately(now, actions);
   return actions;
 }
 
 std::vector<DaemonId> Membership::owners(const DomainName& domain) const {
   std::vector<DaemonId> found;
-  if (domain == self_.domain && owns(self_.state)) found.push_back(self_.id);
+  if (domain == self_.domain && mayOwnShards(self_.state)) found.push_back(self_.id);
   for (const auto& [id, member] : members_) {
-    if (member.news.domain == domain && owns(member.news.state)) found.push_back(id);
+    if (member.news.domain == domain && mayOwnShards(member.news.state)) found.push_back(id);
   }
   std::sort(found.begin(), found.end());
   return found;
--- a/Hallchute/src/Membership/Membership.h
+++ b/Hallchute/src/Membership/Membership.h
@@ -19,76 +19,78 @@
 
 namespace Hallchute {
 
-/// \brief The daemons of the fleet, kept by probes with news on their back.
+/// \brief The member table of the fleet, maintained by probes with piggybacked updates.
 /// \ingroup Membership
 ///
 /// After the SWIM protocol (Das, Gupta, Motivala 2002): random probes, suspicion, refutation by a
-/// higher incarnation, piggybacked news. Members of other failure domains are probed seldom and
-/// never suspected: between domains a cut is likelier than a death. One thread; no I/O, no clock;
-/// draws from the seed passed in. Cost of a tick: one pass over the members.
+/// higher incarnation, piggybacked updates. Members of other failure domains are probed less often
+/// and never suspected: between failure domains a network partition is more likely than a crash.
+/// Not thread-safe. Does no I/O, reads no clock and draws random numbers from the given seed only.
+/// A tick is linear in the number of members.
 class Membership {
  public:
   Membership(MembershipPolicy policy, MemberNews self, std::uint64_t seed);
 
-  /// \brief An address to probe until somebody answers there.
+  /// \brief Adds an address to probe until a daemon answers from it.
   void addSeed(const std::string& address);
   std::vector<MembershipAction> tick(Instant now);
-  /// \brief What to say now; counts what is said, as each item is said a bounded number of times.
-  /// \param peerKnows how many daemons its receiver knows; one that lags gets a larger batch.
-  NewsBatch compose(Instant now, std::uint64_t peerKnows = UINT64_MAX);
-  /// \brief Takes a batch that a peer sent or answered.
-  std::vector<MembershipAction> receive(const NewsBatch& batch, Instant now);
-  /// \brief The probe of \p target failed at once (refused, reset).
+  /// \brief Builds the next message. Counts each update's transmissions, which are bounded.
+  /// \param peerKnows how many daemons the receiver knows; one that knows fewer gets a larger
+  /// message.
+  NewsBatch compose(Instant now, std::uint64_t peerMemberCount = UINT64_MAX);
+  /// \brief Applies a message received from a peer, either a probe or an answer.
+  std::vector<MembershipAction> receive(const NewsBatch& message, Instant now);
+  /// \brief Reports that the probe of \p target failed at once (connection refused or reset).
   std::vector<MembershipAction> probeFailed(const DaemonId& target, Instant now);
-  /// \brief Starts to spread that an upstream leaves.
-  std::vector<MembershipAction> announceLeave(const LeaveNews& news, Instant now);
-  /// \brief This daemon stops: it owns nothing from now on.
+  /// \brief Starts to disseminate the leave of an upstream.
+  std::vector<MembershipAction> announceLeave(const LeaveNews& announcement, Instant now);
+  /// \brief Marks this daemon as leaving: it owns no shards from now on.
   std::vector<MembershipAction> leave(Instant now);
   void setRevision(std::uint64_t revision) { self_.revision = revision; }
   void setHostsVersion(std::uint64_t version) { self_.hostsVersion = version; }
 
   const MemberNews& self() const { return self_; }
-  /// \brief Daemons of \p domain that may own shards, this one included, in order of their names.
+  /// \brief Daemons of \p domain that may own shards, this one included, ordered by id.
   std::vector<DaemonId> owners(const DomainName& domain) const;
-  /// \brief Whether \p id is this daemon or one not known to be dead.
+  /// \brief Whether \p id is this daemon or a known member that is not dead.
   bool mayLive(const DaemonId& id) const;
   const Member* find(const DaemonId& id) const;
   /// \brief All other members that are not dead.
   std::vector<Member> others() const;
 
  private:
-  struct Rumour {
-    std::size_t said = 0;
+  struct PendingUpdate {
+    std::size_t sendCount = 0;
   };
-  struct LeaveRumour {
+  struct PendingLeave {
     Instant end;
     LeaveSource source;
-    std::size_t said = 0;
+    std::size_t sendCount = 0;
   };
-  struct Outstanding {
-    Instant since;
+  struct OutstandingProbe {
+    Instant sentAt;
   };
 
-  bool take(const MemberNews& news, Instant now, bool spread);
+  bool applyUpdate(const MemberNews& news, Instant now, bool disseminate);
   bool refute(const MemberNews& news);
   void setState(Member& member, MemberState state, Instant now);
-  void expire(Instant now, std::vector<MembershipAction>& actions);
+  void expireTimeouts(Instant now, std::vector<MembershipAction>& actions);
   void probe(const Member& member, Instant now, std::vector<MembershipAction>& actions);
-  const Member* nextTarget(bool foreign);
-  void addForJoiner(NewsBatch& batch);
-  std::uint64_t knownAlive() const;
-  std::size_t sayLimit() const;
-  void eager(Instant now, std::vector<MembershipAction>& actions);
+  const Member* nextTarget(bool otherDomain);
+  void addRandomMembers(NewsBatch& message);
+  std::uint64_t memberCount() const;
+  std::size_t retransmitLimit() const;
+  void probeImmediately(Instant now, std::vector<MembershipAction>& actions);
 
   MembershipPolicy policy_;
   MemberNews self_;
   std::mt19937_64 random_;
   std::map<DaemonId, Member> members_;
-  std::map<DaemonId, Rumour> rumours_;
-  std::map<UpstreamId, LeaveRumour> leaves_;
-  std::map<DaemonId, Outstanding> outstanding_;
+  std::map<DaemonId, PendingUpdate> pendingUpdates_;
+  std::map<UpstreamId, PendingLeave> leaves_;
+  std::map<DaemonId, OutstandingProbe> outstanding_;
   std::set<std::string> seeds_;
-  std::vector<DaemonId> round_;
+  std::vector<DaemonId> probeOrder_;
   Instant lastTick_{};
   Instant nextProbe_{};
   std::size_t periods_ = 0;
--- a/Hallchute/src/Membership/MembershipAction.h
+++ b/Hallchute/src/Membership/MembershipAction.h
@@ -13,10 +13,10 @@
 
 namespace Hallchute {
 
-/// \brief Send a batch to this address and report its answer or its silence.
+/// \brief Send a gossip message to this address and report the answer or the failure.
 /// \ingroup Membership
 struct SendProbe {
-  /// Empty for a seed whose name is not yet known.
+  /// Empty for a seed whose id is not yet known.
   DaemonId target;
   std::string address;
 };
@@ -25,19 +25,19 @@
 /// \ingroup Membership
 struct OwnersChanged {};
 
-/// \brief This daemon was paused so long that others may have taken over what it held.
+/// \brief This daemon was paused for so long that others may have taken over its shards.
 /// \ingroup Membership
 struct WokeOutdated {
   Millis gap{0};
 };
 
-/// \brief An upstream was heard to leave for the first time.
+/// \brief The leave of an upstream became known.
 /// \ingroup Membership
 struct LeaveHeard {
   LeaveNews news;
 };
 
-/// \brief A peer has newer settings.
+/// \brief A peer has a newer settings revision.
 /// \ingroup Membership
 struct NewerSettings {
   std::string address;
--- a/Hallchute/src/Membership/MembershipPolicy.h
+++ b/Hallchute/src/Membership/MembershipPolicy.h
@@ -10,28 +10,28 @@
 
 namespace Hallchute {
 
-/// \brief The pace and the bounds of probing.
+/// \brief Intervals, timeouts and message limits of the membership protocol.
 /// \ingroup Membership
 struct MembershipPolicy {
-  /// One member of the own failure domain is probed in each period.
+  /// Probe interval: one member of the same failure domain is probed per period.
   Millis period{300};
-  /// Silence after a probe that makes its target suspect.
-  Millis answerLimit{500};
-  /// Time in which a suspect may refute before it is declared dead.
-  Millis suspicion{1'000};
-  /// Every so many periods, a member of another domain is probed.
-  std::size_t foreignEvery = 4;
-  /// Members named in a batch besides its sender.
+  /// Time without an answer after which the target of a probe becomes suspect.
+  Millis probeTimeout{500};
+  /// Time in which a suspect can refute the suspicion before it is declared dead.
+  Millis suspicionTimeout{1'000};
+  /// A member of another failure domain is probed once in this many periods.
+  std::size_t otherDomainPeriods = 4;
+  /// Upper bound of the members in a message, its sender not counted.
   std::size_t membersPerBatch = 6;
-  /// Members named in the answer to a peer that knows fewer: it has just joined, or was cut off.
-  std::size_t membersForJoiner = 64;
+  /// Upper bound for a peer that knows fewer members, as after joining or a network partition.
+  std::size_t membersForLaggingPeer = 64;
   std::size_t leavesPerBatch = 16;
-  /// Peers probed out of turn when an upstream is first heard to leave.
-  std::size_t eagerFanout = 3;
-  /// A gap between ticks from which the daemon takes itself for outdated.
-  Millis pauseLimit{2'000};
-  /// How long a dead member is remembered.
-  Millis deadMemory{60'000};
+  /// Peers probed at once, outside the probe period, when a leave is first known.
+  std::size_t immediateProbes = 3;
+  /// Gap between ticks from which the daemon treats its own state as outdated.
+  Millis pauseThreshold{2'000};
+  /// How long a dead member stays in the table.
+  Millis deadMemberRetention{60'000};
 };
 
 }  // namespace Hallchute
--- a/Hallchute/src/Membership/NewsBatch.h
+++ b/Hallchute/src/Membership/NewsBatch.h
@@ -14,25 +14,27 @@
 
 namespace Hallchute {
 
-/// \brief Who first told that an upstream leaves.
+/// \brief The source that first reported the leave of an upstream.
 /// \ingroup Membership
 enum class LeaveSource : std::uint8_t { notice, hostList, upstream, operatorOrder };
 
-/// \brief That an upstream leaves. It is never taken back: what returns has a new id.
+/// \brief Announces that an upstream leaves.
 /// \ingroup Membership
+///
+/// A leave is never revoked: a host that returns has a new id.
 struct LeaveNews {
   UpstreamId upstream;
-  /// Time left until it goes, at the time of sending.
+  /// Time left until the upstream leaves, at the time of sending.
   Millis remaining{0};
   LeaveSource source = LeaveSource::notice;
 };
 
-/// \brief What one probe or its answer carries. Its size is bounded by MembershipPolicy.
+/// \brief The payload of a probe or of its answer. Its size is bounded by MembershipPolicy.
 /// \ingroup Membership
 struct NewsBatch {
-  /// The sender itself, always up to date.
+  /// The status of the sender itself, always current.
   MemberNews sender;
-  /// How many daemons the sender knows to live, itself included.
+  /// Number of daemons that the sender knows and that are not dead, itself included.
   std::uint64_t known = 0;
   std::vector<MemberNews> members;
   std::vector<LeaveNews> leaves;
--- a/Hallchute/src/Membership/UpstreamDirectory.cpp
+++ b/Hallchute/src/Membership/UpstreamDirectory.cpp
@@ -9,8 +9,8 @@
 namespace Hallchute {
 namespace {
 
-/// How long a leave of an upstream not yet listed is remembered.
-constexpr Millis kEarlyMemory{600'000};
+/// How long a reported leave is kept past its end, in case the host list names the upstream late.
+constexpr Millis kReportedLeaveRetention{600'000};
 
 }  // namespace
 
@@ -27,8 +27,8 @@
     listed.insert(id);
     const auto [it, isNew] = upstreams_.try_emplace(id, UpstreamInfo{id, host, std::nullopt});
     it->second.host = host;
-    if (const auto early = early_.find(id); early != early_.end()) {
-      it->second.leavesAt = early->second;
+    if (const auto reported = reportedLeaves_.find(id); reported != reportedLeaves_.end()) {
+      it->second.leavesAt = reported->second;
     }
     if (host.leavesIn && !it->second.leavesAt) {
       it->second.leavesAt = now + *host.leavesIn;
@@ -43,15 +43,16 @@
     if (!it->second.leavesAt) leaves.push_back({it->first, Millis(0), LeaveSource::hostList});
     it = upstreams_.erase(it);
   }
-  std::erase_if(early_, [&](const auto& entry) { return now >= entry.second + kEarlyMemory; });
+  std::erase_if(reportedLeaves_,
+                [&](const auto& entry) { return now >= entry.second + kReportedLeaveRetention; });
   return leaves;
 }
 
 bool UpstreamDirectory::noteLeave(const UpstreamId& upstream, Millis remaining, Instant now) {
   const Instant end = now + remaining;
-  const bool fresh = early_.try_emplace(upstream, end).second;
+  const bool isNew = reportedLeaves_.try_emplace(upstream, end).second;
   const auto it = upstreams_.find(upstream);
-  if (it == upstreams_.end()) return fresh;
+  if (it == upstreams_.end()) return isNew;
   if (it->second.leavesAt) {
     it->second.leavesAt = std::min(*it->second.leavesAt, end);
     return false;
--- a/Hallchute/src/Membership/UpstreamDirectory.h
+++ b/Hallchute/src/Membership/UpstreamDirectory.h
@@ -16,31 +16,31 @@
 
 namespace Hallchute {
 
-/// \brief An upstream as one daemon knows it.
+/// \brief An upstream in this daemon's directory.
 /// \ingroup Membership
 struct UpstreamInfo {
   UpstreamId id;
   HostListEntry host;
-  /// Set once it is known to leave.
+  /// When the upstream leaves; set once its leave is known.
   std::optional<Instant> leavesAt;
 };
 
-/// \brief The upstreams of the fleet: the lagging host list, corrected by news.
+/// \brief The upstreams of the fleet: the host list, which lags, corrected by reported leaves.
 /// \ingroup Membership
 ///
-/// A leave is never taken back. A list older than one already seen is ignored. One thread.
+/// A leave is never revoked. A host list older than the current one is ignored. Not thread-safe.
 class UpstreamDirectory {
  public:
-  /// \brief Takes a host list.
-  /// \returns the leaves that only this list tells of.
+  /// \brief Applies a host list.
+  /// \returns the leaves that were not known before this list.
   std::vector<LeaveNews> applyList(std::uint64_t version, std::span<const HostListEntry> hosts,
                                    Instant now);
-  /// \brief Notes a leave.
-  /// \returns whether it was news.
+  /// \brief Records a reported leave.
+  /// \returns whether the leave was not known before.
   bool noteLeave(const UpstreamId& upstream, Millis remaining, Instant now);
   /// \brief Upstreams of \p service in \p domain that are not leaving.
   std::vector<UpstreamId> live(const ServiceName& service, const DomainName& domain) const;
-  /// \brief Domains that have a live upstream of \p service.
+  /// \brief Failure domains that have an upstream of \p service that is not leaving.
   std::vector<DomainName> domainsOf(const ServiceName& service) const;
   const UpstreamInfo* find(const UpstreamId& upstream) const;
   std::vector<UpstreamInfo> all() const;
@@ -49,8 +49,8 @@
  private:
   std::uint64_t version_ = 0;
   std::map<UpstreamId, UpstreamInfo> upstreams_;
-  /// Leaves heard before the list named the upstream.
-  std::map<UpstreamId, Instant> early_;
+  /// Reported leaves, including those of upstreams that the host list does not name yet.
+  std::map<UpstreamId, Instant> reportedLeaves_;
 };
 
 }  // namespace Hallchute
--- a/Hallchute/src/Recovery/HandOverRecord.cpp
+++ b/Hallchute/src/Recovery/HandOverRecord.cpp
@@ -11,7 +11,7 @@
 namespace {
 
 constexpr std::array<std::string_view, 3> kStates{"running", "finished", "refused"};
-constexpr std::int64_t kMost = INT64_MAX;
+constexpr std::int64_t kMaxInteger = INT64_MAX;
 
 }  // namespace
 
@@ -46,8 +46,8 @@
   JsonReader reader(json, "", findings);
   record.request = RequestId(reader.text("request", true));
   record.holder = DaemonId(reader.text("holder", true));
-  record.generation = static_cast<std::uint64_t>(reader.integer("generation", 1, kMost, 1));
-  record.epoch = static_cast<std::uint64_t>(reader.integer("epoch", 0, kMost, 0));
+  record.generation = static_cast<std::uint64_t>(reader.integer("generation", 1, kMaxInteger, 1));
+  record.epoch = static_cast<std::uint64_t>(reader.integer("epoch", 0, kMaxInteger, 0));
   const std::string state = reader.oneOf("state", kStates);
   for (std::size_t i = 0; i < kStates.size(); ++i) {
     if (kStates[i] == state) record.state = static_cast<JobState>(i);
@@ -57,7 +57,7 @@
   record.workClass = ClassName(reader.text("workClass", true));
   record.prompt = reader.text("prompt", true);
   record.chat = reader.boolean("chat", true);
-  record.maxTokens = static_cast<std::size_t>(reader.integer("maxTokens", 0, kMost, 0));
+  record.maxTokens = static_cast<std::size_t>(reader.integer("maxTokens", 0, kMaxInteger, 0));
   record.tokens = reader.texts("tokens");
   record.detail = reader.text("detail", false);
   return record;
--- a/Hallchute/src/Recovery/MigrationPlan.cpp
+++ b/Hallchute/src/Recovery/MigrationPlan.cpp
@@ -9,18 +9,18 @@
 namespace {
 
 /// A stream is left in place only if it would finish in this part of the time left.
-constexpr double kFinishMargin = 0.8;
+constexpr double kFinishFraction = 0.8;
 /// Export and import each cost a round trip besides the transfer itself.
-constexpr double kMoveSetupSeconds = 0.05;
+constexpr double kMoveOverheadSeconds = 0.05;
 
 double seconds(Millis time) {
   return static_cast<double>(time.count()) / 1000.0;
 }
 
-bool finishesInTime(const RunningStream& stream, double left) {
+bool canFinishInTime(const RunningStream& stream, double left) {
   if (stream.tokensPerSecond <= 0) return false;
   const double needed = static_cast<double>(stream.remainingTokens) / stream.tokensPerSecond;
-  return needed <= left * kFinishMargin;
+  return needed <= left * kFinishFraction;
 }
 
 double recomputeCost(const RunningStream& stream) {
@@ -32,23 +32,23 @@
 std::vector<StreamMigration> planMigrations(std::span<const RunningStream> streams,
                                             const LeaveWindow& window) {
   std::vector<StreamMigration> plan;
-  std::vector<const RunningStream*> moving;
+  std::vector<const RunningStream*> migrating;
   const double left = seconds(window.left);
   for (const RunningStream& stream : streams) {
-    if (finishesInTime(stream, left)) {
+    if (canFinishInTime(stream, left)) {
       plan.push_back({stream.stream, FinishInPlace{}});
     } else {
-      moving.push_back(&stream);
+      migrating.push_back(&stream);
     }
   }
-  std::stable_sort(moving.begin(), moving.end(), [](const auto* a, const auto* b) {
+  std::stable_sort(migrating.begin(), migrating.end(), [](const auto* a, const auto* b) {
     return recomputeCost(*a) > recomputeCost(*b);
   });
   double used = 0;
-  for (const RunningStream* stream : moving) {
+  for (const RunningStream* stream : migrating) {
     const double rate = window.transferTokensPerSecond;
     const double needed =
-        rate > 0 ? kMoveSetupSeconds + static_cast<double>(stream->contextTokens) / rate : 0;
+        rate > 0 ? kMoveOverheadSeconds + static_cast<double>(stream->contextTokens) / rate : 0;
     if (rate > 0 && used + needed <= left) {
       used += needed;
       plan.push_back({stream->stream, MoveCache{}});
--- a/Hallchute/src/Recovery/RetryBudget.cpp
+++ b/Hallchute/src/Recovery/RetryBudget.cpp
@@ -9,19 +9,19 @@
 namespace {
 
 /// What a quiet daemon may retry, so that the first failures after a start are not fatal.
-constexpr double kBurst = 50;
+constexpr double kBurstRetries = 50;
 
 }  // namespace
 
-RetryBudget::RetryBudget(double ratio) : ratio_(ratio), level_(kBurst) {}
+RetryBudget::RetryBudget(double ratio) : ratio_(ratio), available_(kBurstRetries) {}
 
 void RetryBudget::noteFirstAttempt() {
-  level_ = std::min(kBurst, level_ + ratio_);
+  available_ = std::min(kBurstRetries, available_ + ratio_);
 }
 
 bool RetryBudget::takeRetry() {
-  if (level_ < 1) return false;
-  level_ -= 1;
+  if (available_ < 1) return false;
+  available_ -= 1;
   return true;
 }
 
--- a/Hallchute/src/Recovery/RetryBudget.h
+++ b/Hallchute/src/Recovery/RetryBudget.h
@@ -21,7 +21,7 @@
 
  private:
   double ratio_;
-  double level_;
+  double available_;
 };
 
 }  // namespace Hallchute
