--- a/Hallchute/src/Ledger/OnceAttempt.cpp
+++ b/Hallchute/src/Ledger/OnceAttempt.cpp
@@ -12,7 +12,7 @@
 constexpr Millis kPlatformRetryAfter{1'000};
 constexpr Millis kInProgressRetryAfter{500};
 
-RefuseOnce platformOut(bool abandonLater) {
+RefuseOnce platformUnavailable(bool abandonLater) {
   return {{RefusalReason::platformOut,
            "the record that keeps this work from repeating can't be written", RunOutcome::notRun,
            kPlatformRetryAfter},
@@ -63,25 +63,25 @@
 
 OnceStep OnceAttempt::onWriteUnknown() {
   if (++writeAttempts_ >= kMaxWriteAttempts) {
-    return stage_ == Stage::storing ? answerWithRecord(false) : OnceStep(platformOut(true));
+    return stage_ == Stage::storing ? answerWithRecord(false) : OnceStep(platformUnavailable(true));
   }
   return ReadRecord{};
 }
 
 OnceStep OnceAttempt::onWriteRefused() {
   if (stage_ == Stage::storing) return answerWithRecord(false);
-  // An earlier try of this attempt may have taken effect all the same.
-  return platformOut(writeAttempts_ > 0);
+  // An earlier write of this attempt with an unknown result may have taken effect.
+  return platformUnavailable(writeAttempts_ > 0);
 }
 
 OnceStep OnceAttempt::onReadFailed() {
   if (stage_ == Stage::storing) return answerWithRecord(false);
-  return platformOut(true);
+  return platformUnavailable(true);
 }
 
 OnceStep OnceAttempt::onAbsent() {
   if (++writeAttempts_ >= kMaxWriteAttempts) {
-    return stage_ == Stage::storing ? answerWithRecord(false) : OnceStep(platformOut(true));
+    return stage_ == Stage::storing ? answerWithRecord(false) : OnceStep(platformUnavailable(true));
   }
   ifVersion_ = 0;
   return WriteRecord{record_, 0};
@@ -112,7 +112,7 @@
     case OnceState::unknown:
       return RefuseOnce{unknownOutcome("an earlier attempt may have run: " + other.body), false};
     case OnceState::abandoned:
-      if (++writeAttempts_ >= kMaxWriteAttempts) return platformOut(false);
+      if (++writeAttempts_ >= kMaxWriteAttempts) return platformUnavailable(false);
       return WriteRecord{record_, event.version};
     case OnceState::started:
       break;
--- a/Hallchute/src/Ledger/OnceAttempt.h
+++ b/Hallchute/src/Ledger/OnceAttempt.h
@@ -12,22 +12,22 @@
 
 namespace Hallchute {
 
-/// \brief One attempt at work that must not repeat.
+/// \brief State machine for one attempt at a request that must run at most once.
 /// \ingroup Ledger
 ///
-/// Dispatches only after its own record is known to stand, and at most once. Nothing here depends
-/// on a lease or a clock, so a pause between any two steps does no harm. Errors: every failure ends
-/// in RefuseOnce with an honest RunOutcome.
+/// Dispatches only after its own record is known to be stored, and at most once. Nothing here
+/// depends on a lease or a clock, so a pause between any two steps is safe. Every failure ends in
+/// RefuseOnce with a RunOutcome that never claims more than is known.
 class OnceAttempt {
  public:
-  /// \param record the record to create, state `started`.
+  /// \param record the record to create, in state `started`.
   explicit OnceAttempt(OnceRecord record);
-  /// \brief The first step.
+  /// \brief Returns the first step.
   OnceStep start() const;
-  /// \brief The step after \p event, which must answer the step given last.
+  /// \brief Returns the step after \p event, which must be the result of the previous step.
   OnceStep next(const OnceEvent& event);
   const OnceRecord& record() const { return record_; }
-  /// \brief The version of the record once written.
+  /// \brief The stored version of the record; 0 before the first write.
   std::uint64_t version() const { return version_; }
 
  private:
@@ -52,7 +52,7 @@
   int writeAttempts_ = 0;
 };
 
-/// \brief The refusal for work that may have run with no answer known.
+/// \brief The refusal for a request that may have run and whose answer is not known.
 /// \ingroup Ledger
 Refusal unknownOutcome(std::string detail);
 
--- a/Hallchute/src/Ledger/OnceEvent.h
+++ b/Hallchute/src/Ledger/OnceEvent.h
@@ -19,20 +19,20 @@
 };
 /// \brief The write did not take effect: the object has another version.
 struct RecordConflict {};
-/// \brief The write may have taken effect.
+/// \brief It is unknown whether the write took effect.
 struct RecordWriteUnknown {};
-/// \brief The write surely did not take effect: the platform was not reached.
+/// \brief The write did not take effect: the platform rejected it or was not reached.
 struct RecordWriteRefused {};
-/// \brief The object as it stands.
+/// \brief The stored object.
 struct RecordFound {
   OnceRecord record;
   std::uint64_t version = 0;
-  /// Whether the record's holder may still live, as far as this daemon knows.
+  /// Whether the record's holder may still be alive, as far as this daemon knows.
   bool holderMayLive = true;
 };
 struct RecordAbsent {};
 struct RecordReadFailed {};
-/// \brief The upstream gave a whole answer.
+/// \brief The upstream sent a complete answer.
 struct DispatchAnswered {
   int status = 0;
   std::string contentType;
@@ -42,12 +42,12 @@
 struct DispatchNeverSent {
   std::string detail;
 };
-/// \brief A byte may have reached the upstream and no whole answer came.
+/// \brief A byte may have reached the upstream, but no complete answer was received.
 struct DispatchMaybeSent {
   std::string detail;
 };
 
-/// \brief What an OnceAttempt learns. \ingroup Ledger
+/// \brief The result of a step, passed to OnceAttempt::next(). \ingroup Ledger
 using OnceEvent = std::variant<RecordWritten, RecordConflict, RecordWriteUnknown,
                                RecordWriteRefused, RecordFound, RecordAbsent, RecordReadFailed,
                                DispatchAnswered, DispatchNeverSent, DispatchMaybeSent>;
--- a/Hallchute/src/Ledger/OnceRecord.h
+++ b/Hallchute/src/Ledger/OnceRecord.h
@@ -13,23 +13,23 @@
 
 namespace Hallchute {
 
-/// \brief How far an attempt at work that must not repeat has come.
+/// \brief The state of an attempt at a request that must run at most once.
 /// \ingroup Ledger
 enum class OnceState {
-  /// It may be dispatched at any moment, or has been.
+  /// The request may be dispatched at any moment, or has been.
   started,
-  /// It ran; its answer is stored.
+  /// The request ran; its answer is stored.
   done,
-  /// A byte may have reached the upstream and no answer came: nobody knows.
+  /// A byte may have reached the upstream, but no answer was received: it may or may not have run.
   unknown,
-  /// Given up before its dispatch: another attempt may take its place.
+  /// Abandoned before the dispatch: another attempt may replace it.
   abandoned,
 };
 
-/// \brief The platform's object about one Idempotency-Key of one organisation.
+/// \brief The platform object for one Idempotency-Key of one organisation.
 /// \ingroup Ledger
 struct OnceRecord {
-  /// Random; tells after a lost reply whose write took effect.
+  /// Random id; identifies, after a lost reply, the attempt whose write took effect.
   std::string attempt;
   /// Hash of the request's target and body.
   std::string digest;
@@ -38,12 +38,12 @@
   int status = 0;
   std::string contentType;
   std::string body;
-  /// Wall clock, ms since 1970, of the holder. Only the sweeper of old records reads it.
+  /// Wall clock of the holder in ms since 1970; read only to remove old records.
   std::int64_t startedAtMs = 0;
   std::int64_t lifetimeMs = 0;
 };
 
-/// \brief The key of the record: organisation and a hash of the caller's key.
+/// \brief The platform key of the record: the organisation and a hash of \p idempotencyKey.
 /// \ingroup Ledger
 std::string onceKey(const OrganisationName& organisation, std::string_view idempotencyKey);
 
@@ -51,7 +51,7 @@
 
 std::string onceText(const OnceRecord& record);
 
-/// \brief Reads a record; adds findings if \p text is none.
+/// \brief Parses a record; adds findings if \p text is not a valid one.
 /// \ingroup Ledger
 OnceRecord parseOnce(std::string_view text, Findings& findings);
 
--- a/Hallchute/src/Ledger/OnceStep.h
+++ b/Hallchute/src/Ledger/OnceStep.h
@@ -12,29 +12,29 @@
 
 namespace Hallchute {
 
-/// \brief Write the record if its object has \p ifVersion; 0 means: if it is absent.
+/// \brief Write the record if the object has version `ifVersion`; 0 requires that it is absent.
 /// \ingroup Ledger
 struct WriteRecord {
   OnceRecord record;
   std::uint64_t ifVersion = 0;
 };
 struct ReadRecord {};
-/// \brief Send the request to the upstream, once.
+/// \brief Send the request to the upstream. Occurs at most once per attempt.
 struct DispatchOnce {};
-/// \brief Answer with what the record holds, and stop.
+/// \brief Final step: answer the caller from the record.
 struct AnswerWithRecord {
   OnceRecord record;
-  /// Whether the record still has to be stored; the holder goes on trying in the background.
+  /// Whether the record is not stored yet; the holder then retries in the background.
   bool storeLater = false;
 };
-/// \brief Refuse, and stop.
+/// \brief Final step: refuse the request.
 struct RefuseOnce {
   Refusal refusal;
-  /// The record may stand as started although nothing ran: mark it abandoned in the background.
+  /// The stored record may say `started` although nothing ran: mark it abandoned in the background.
   bool abandonLater = false;
 };
 
-/// \brief What the owner of an OnceAttempt does next. \ingroup Ledger
+/// \brief The next operation for the owner of an OnceAttempt. \ingroup Ledger
 using OnceStep = std::variant<WriteRecord, ReadRecord, DispatchOnce, AnswerWithRecord, RefuseOnce>;
 
 }  // namespace Hallchute
--- a/Hallchute/src/Recovery/AnswerAssembler.h
+++ b/Hallchute/src/Recovery/AnswerAssembler.h
@@ -13,32 +13,32 @@
 
 namespace Hallchute {
 
-/// \brief What became of a chunk.
+/// \brief The result of adding a chunk.
 /// \ingroup Recovery
 enum class ChunkVerdict {
-  /// It is the next token.
+  /// It was the next token and has been appended.
   taken,
-  /// It is the end mark and the answer is whole.
+  /// It was the end mark: the answer is complete.
   finished,
-  /// It is of another attempt.
+  /// It belongs to another attempt.
   otherEpoch,
-  /// It was taken before.
+  /// Its token was appended before.
   duplicate,
-  /// Tokens before it are missing: this attempt's stream can't be used any more.
+  /// Tokens before it are missing: the stream of this attempt is unusable.
   gap,
 };
 
-/// \brief Puts an answer together across attempts.
+/// \brief Assembles an answer across attempts.
 /// \ingroup Recovery
 ///
-/// An answer is finished by its end mark only. Chunks of another epoch than the current one are
-/// never taken, whenever they come. Cost: constant per chunk.
+/// Only the end mark finishes an answer. Chunks of any other epoch than the current one are always
+/// dropped. Constant time per chunk.
 class AnswerAssembler {
  public:
-  /// \brief Starts the next attempt; chunks of earlier ones no longer count.
+  /// \brief Starts the next attempt; chunks of earlier attempts are dropped from now on.
   /// \returns the new epoch.
   std::uint64_t beginAttempt();
-  /// \brief Starts again with what another daemon had assembled.
+  /// \brief Resumes from the tokens that another daemon has assembled.
   void restore(std::uint64_t epoch, std::vector<std::string> tokens);
   ChunkVerdict take(const AnswerChunk& chunk);
 
--- a/Hallchute/src/Recovery/AnswerChunk.h
+++ b/Hallchute/src/Recovery/AnswerChunk.h
@@ -10,14 +10,14 @@
 
 namespace Hallchute {
 
-/// \brief A piece of an answer as an engine sends it.
+/// \brief A part of an answer as sent by an engine.
 /// \ingroup Recovery
 struct AnswerChunk {
-  /// The attempt it belongs to.
+  /// The epoch of the attempt that it belongs to.
   std::uint64_t epoch = 0;
-  /// The index of its first token in the whole answer.
+  /// The index of its token in the whole answer.
   std::size_t offset = 0;
-  /// Its one token; empty in the end mark.
+  /// A single token; empty in the end mark.
   std::string token;
   /// The end mark: `offset` is then the length of the whole answer.
   bool end = false;
--- a/Hallchute/src/Recovery/HandOverRecord.h
+++ b/Hallchute/src/Recovery/HandOverRecord.h
@@ -14,18 +14,18 @@
 
 namespace Hallchute {
 
-/// \brief How far a request has come whose record outlives its daemon.
+/// \brief The state of a request whose record outlives the daemon that serves it.
 /// \ingroup Recovery
 enum class JobState { running, finished, refused };
 
-/// \brief All that another daemon needs to go on with a request.
+/// \brief The state that another daemon needs to resume a request.
 /// \ingroup Recovery
 struct HandOverRecord {
   RequestId request;
   DaemonId holder;
-  /// Raised by each daemon that takes the request on; a stale holder's writes fail.
+  /// Incremented by each daemon that takes over the request; writes of a former holder fail.
   std::uint64_t generation = 1;
-  /// The attempt epoch reached; the next attempt's is higher.
+  /// The epoch of the latest attempt; the next attempt uses a higher one.
   std::uint64_t epoch = 0;
   JobState state = JobState::running;
   OrganisationName organisation;
@@ -35,7 +35,7 @@
   bool chat = true;
   std::size_t maxTokens = 0;
   std::vector<std::string> tokens;
-  /// Why, if refused.
+  /// The reason of the refusal, in state `refused`.
   std::string detail;
 };
 
@@ -47,7 +47,7 @@
 
 std::string handOverText(const HandOverRecord& record);
 
-/// \brief Reads a record; adds findings if \p text is none.
+/// \brief Parses a record; adds findings if \p text is not a valid one.
 /// \ingroup Recovery
 HandOverRecord parseHandOver(std::string_view text, Findings& findings);
 
--- a/Hallchute/src/Recovery/MigrationPlan.cpp
+++ b/Hallchute/src/Recovery/MigrationPlan.cpp
@@ -8,9 +8,9 @@
 namespace Hallchute {
 namespace {
 
-/// A stream is left in place only if it would finish in this part of the time left.
+/// A stream stays in place only if it is expected to finish within this fraction of the time left.
 constexpr double kFinishFraction = 0.8;
-/// Export and import each cost a round trip besides the transfer itself.
+/// Covers the round trips of export and import, which add to the transfer itself.
 constexpr double kMoveOverheadSeconds = 0.05;
 
 double seconds(Millis time) {
--- a/Hallchute/src/Recovery/MigrationPlan.h
+++ b/Hallchute/src/Recovery/MigrationPlan.h
@@ -14,54 +14,55 @@
 
 namespace Hallchute {
 
-/// \brief The stream ends before its upstream does: leave it there.
+/// \brief The stream finishes before its upstream leaves: do not migrate it.
 /// \ingroup Recovery
 struct FinishInPlace {};
-/// \brief Export the cached tokens, import them elsewhere, go on there: nothing is recomputed.
+/// \brief Transfer the cached tokens to another upstream and resume there, without recomputation.
 /// \ingroup Recovery
 struct MoveCache {};
-/// \brief Go on elsewhere from the prompt and the tokens so far.
+/// \brief Resume on another upstream by recomputing the prompt and the tokens generated so far.
 /// \ingroup Recovery
 struct Recompute {};
 
 /// \ingroup Recovery
 using Migration = std::variant<FinishInPlace, MoveCache, Recompute>;
 
-/// \brief A stream on an upstream that leaves.
+/// \brief A stream on a leaving upstream.
 /// \ingroup Recovery
 struct RunningStream {
   std::uint64_t stream = 0;
-  /// Prompt and answer so far: what a move carries and a recomputation computes again.
+  /// Tokens of the prompt and the answer so far, to be transferred or recomputed.
   std::size_t contextTokens = 0;
-  /// The most that may still come.
+  /// Upper bound of the tokens still to be generated.
   std::size_t remainingTokens = 0;
   double tokensPerSecond = 0;
-  /// The class's weight: how much a recomputed token of it costs.
+  /// Weight of the work class: the relative cost of recomputing one token.
   double weight = 1;
 };
 
-/// \brief What the leaving upstream still allows.
+/// \brief Time and bandwidth left on the leaving upstream.
 /// \ingroup Recovery
 struct LeaveWindow {
-  /// Time until work must have left it, margin already taken off.
+  /// Time until all work must have left the upstream, the safety margin already subtracted.
   Millis left{0};
-  /// Speed of moving cached tokens off it, for all streams together; 0 forbids moves.
+  /// Transfer rate of cached tokens, shared by all streams; 0 disables cache transfers.
   double transferTokensPerSecond = 0;
 };
 
-/// \brief What to do with one stream.
+/// \brief The planned migration of one stream.
 /// \ingroup Recovery
 struct StreamMigration {
   std::uint64_t stream = 0;
   Migration migration;
 };
 
-/// \brief Decides for all streams on one leaving upstream at once.
+/// \brief Plans the migration of all streams on a leaving upstream.
 /// \ingroup Recovery
 ///
-/// Streams that finish in time stay. The others share the transfer bandwidth in the order of what
-/// their recomputation would cost (tokens times weight); those for which no time is left are
-/// recomputed. \returns the moves in the order in which they should start. Cost: a sort.
+/// Streams that finish in time stay. The others are transferred in descending order of their
+/// recomputation cost (tokens times weight) as long as time is left; the rest are recomputed.
+/// Complexity: O(n log n).
+/// \returns the migrations in the order in which they should start.
 std::vector<StreamMigration> planMigrations(std::span<const RunningStream> streams,
                                             const LeaveWindow& window);
 
--- a/Hallchute/src/Recovery/RetryBudget.cpp
+++ b/Hallchute/src/Recovery/RetryBudget.cpp
@@ -8,7 +8,7 @@
 namespace Hallchute {
 namespace {
 
-/// What a quiet daemon may retry, so that the first failures after a start are not fatal.
+/// Initial and maximum number of retries, so that failures soon after a start can be retried.
 constexpr double kBurstRetries = 50;
 
 }  // namespace
--- a/Hallchute/src/Recovery/RetryBudget.h
+++ b/Hallchute/src/Recovery/RetryBudget.h
@@ -6,17 +6,18 @@
 
 namespace Hallchute {
 
-/// \brief Bounds retries to a part of the first attempts, so that failures don't multiply load.
+/// \brief Limits retries to a fraction of the first attempts, so that failures do not amplify load.
 /// \ingroup Recovery
 ///
-/// Moves away from an upstream that announced its end don't count: they are no retries.
+/// Migrations from an upstream that announced its leave are not retries and do not count.
 class RetryBudget {
  public:
-  /// \param ratio retries per first attempt.
+  /// \param ratio retries allowed per first attempt.
   explicit RetryBudget(double ratio);
   void setRatio(double ratio) { ratio_ = ratio; }
   void noteFirstAttempt();
-  /// \returns whether a retry may be made; if so it is taken off the budget.
+  /// \brief Consumes one retry from the budget.
+  /// \returns false if the budget is exhausted.
   bool takeRetry();
 
  private:
