--- a/Hallchute/src/Membership/Membership.cpp
+++ b/Hallchute/src/Membership/Membership.cpp
@@ -72,11 +72,11 @@
   for (auto it = members_.begin(); it != members_.end();) {
     Member& member = it->second;
     const bool inOwnDomain = member.news.domain == self_.domain;
-    const bool couldOwnShards = mayOwnShards(member.news.state);
+    const bool wasPossibleOwner = mayOwnShards(member.news.state);
     if (inOwnDomain && member.news.state == MemberState::suspect &&
         now - member.stateSince >= policy_.suspicionTimeout) {
       setState(member, MemberState::dead, now);
-      ownersChanged = ownersChanged || couldOwnShards;
+      ownersChanged = ownersChanged || wasPossibleOwner;
     }
     const bool expired = member.news.state == MemberState::dead &&
                          now - member.stateSince >= policy_.deadMemberRetention;
--- a/Hallchute/src/Membership/UpstreamDirectory.cpp
+++ b/Hallchute/src/Membership/UpstreamDirectory.cpp
@@ -50,9 +50,9 @@
 
 bool UpstreamDirectory::noteLeave(const UpstreamId& upstream, Millis remaining, Instant now) {
   const Instant end = now + remaining;
-  const bool isNew = reportedLeaves_.try_emplace(upstream, end).second;
+  const bool wasUnknown = reportedLeaves_.try_emplace(upstream, end).second;
   const auto it = upstreams_.find(upstream);
-  if (it == upstreams_.end()) return isNew;
+  if (it == upstreams_.end()) return wasUnknown;
   if (it->second.leavesAt) {
     it->second.leavesAt = std::min(*it->second.leavesAt, end);
     return false;
