--- a/Hallchute/src/Ledger/OnceAttempt.h
+++ b/Hallchute/src/Ledger/OnceAttempt.h
@@ -17,7 +17,7 @@
 ///
 /// Dispatches only after its own record is known to be stored, and at most once. Nothing here
 /// depends on a lease or a clock, so a pause between any two steps is safe. Every failure ends in
-/// RefuseOnce with a RunOutcome that never claims more than is known.
+/// RefuseRequest with a RunOutcome that never claims more than is known.
 class OnceAttempt {
  public:
   /// \param record the record to create, in state `started`.
