--- a/Hallchute/src/Ledger/OnceStep.h
+++ b/Hallchute/src/Ledger/OnceStep.h
@@ -20,7 +20,7 @@
 };
 struct ReadRecord {};
 /// \brief Send the request to the upstream. Occurs at most once per attempt.
-struct DispatchOnce {};
+struct DispatchRequest {};
 /// \brief Final step: answer the caller from the record.
 struct AnswerWithRecord {
   OnceRecord record;
@@ -28,14 +28,15 @@
   bool storeLater = false;
 };
 /// \brief Final step: refuse the request.
-struct RefuseOnce {
+struct RefuseRequest {
   Refusal refusal;
   /// The stored record may say `started` although nothing ran: mark it abandoned in the background.
   bool abandonLater = false;
 };
 
 /// \brief The next operation for the owner of an OnceAttempt. \ingroup Ledger
-using OnceStep = std::variant<WriteRecord, ReadRecord, DispatchOnce, AnswerWithRecord, RefuseOnce>;
+using OnceStep =
+    std::variant<WriteRecord, ReadRecord, DispatchRequest, AnswerWithRecord, RefuseRequest>;
 
 }  // namespace Hallchute
 
--- a/Hallchute/src/Membership/Member.h
+++ b/Hallchute/src/Membership/Member.h
@@ -20,7 +20,7 @@
 
 /// \brief The status of a daemon as exchanged by gossip.
 /// \ingroup Membership
-struct MemberNews {
+struct MemberStatus {
   DaemonId id;
   DomainName domain;
   /// The address for its peers, `ip:port`.
@@ -37,7 +37,7 @@
 /// \brief An entry of a daemon's member table.
 /// \ingroup Membership
 struct Member {
-  MemberNews news;
+  MemberStatus status;
   /// When its state last changed in this table.
   Instant stateSince{};
   /// When this daemon last received a message from the member itself.
--- a/Hallchute/src/Membership/Membership.cpp
+++ b/Hallchute/src/Membership/Membership.cpp
@@ -20,7 +20,7 @@
 
 }  // namespace
 
-Membership::Membership(MembershipPolicy policy, MemberNews self, std::uint64_t seed)
+Membership::Membership(MembershipPolicy policy, MemberStatus self, std::uint64_t seed)
     : policy_(policy), self_(std::move(self)), random_(seed) {}
 
 void Membership::addSeed(const std::string& address) {
@@ -41,7 +41,7 @@
     ++self_.incarnation;
     outstanding_.clear();
     for (auto& [id, member] : members_) member.stateSince = now;
-    actions.emplace_back(WokeOutdated{gap});
+    actions.emplace_back(LongPauseDetected{gap});
   }
   expireTimeouts(now, actions);
   if (now < nextProbe_) return actions;
@@ -63,22 +63,23 @@
       continue;
     }
     const auto member = members_.find(it->first);
-    const bool inOwnDomain = member != members_.end() && member->second.news.domain == self_.domain;
-    if (inOwnDomain && member->second.news.state == MemberState::alive) {
+    const bool inOwnDomain =
+        member != members_.end() && member->second.status.domain == self_.domain;
+    if (inOwnDomain && member->second.status.state == MemberState::alive) {
       setState(member->second, MemberState::suspect, now);
     }
     it = outstanding_.erase(it);
   }
   for (auto it = members_.begin(); it != members_.end();) {
     Member& member = it->second;
-    const bool inOwnDomain = member.news.domain == self_.domain;
-    const bool wasPossibleOwner = mayOwnShards(member.news.state);
-    if (inOwnDomain && member.news.state == MemberState::suspect &&
+    const bool inOwnDomain = member.status.domain == self_.domain;
+    const bool wasPossibleOwner = mayOwnShards(member.status.state);
+    if (inOwnDomain && member.status.state == MemberState::suspect &&
         now - member.stateSince >= policy_.suspicionTimeout) {
       setState(member, MemberState::dead, now);
       ownersChanged = ownersChanged || wasPossibleOwner;
     }
-    const bool expired = member.news.state == MemberState::dead &&
+    const bool expired = member.status.state == MemberState::dead &&
                          now - member.stateSince >= policy_.deadMemberRetention;
     it = expired ? members_.erase(it) : std::next(it);
   }
@@ -88,15 +89,15 @@
 }
 
 void Membership::setState(Member& member, MemberState state, Instant now) {
-  member.news.state = state;
+  member.status.state = state;
   member.stateSince = now;
-  pendingUpdates_[member.news.id] = PendingUpdate{};
+  pendingUpdates_[member.status.id] = PendingUpdate{};
 }
 
 const Member* Membership::nextTarget(bool otherDomain) {
   const auto eligible = [&](const Member& member) {
-    return member.news.state != MemberState::dead &&
-           (member.news.domain != self_.domain) == otherDomain;
+    return member.status.state != MemberState::dead &&
+           (member.status.domain != self_.domain) == otherDomain;
   };
   if (otherDomain) {
     std::vector<const Member*> found;
@@ -121,30 +122,30 @@
 }
 
 void Membership::probe(const Member& member, Instant now, std::vector<MembershipAction>& actions) {
-  outstanding_.emplace(member.news.id, OutstandingProbe{now});
-  actions.emplace_back(SendProbe{member.news.id, member.news.address});
+  outstanding_.emplace(member.status.id, OutstandingProbe{now});
+  actions.emplace_back(SendProbe{member.status.id, member.status.address});
 }
 
 std::uint64_t Membership::memberCount() const {
   const auto alive = std::count_if(members_.begin(), members_.end(), [](const auto& entry) {
-    return entry.second.news.state != MemberState::dead;
+    return entry.second.status.state != MemberState::dead;
   });
   return static_cast<std::uint64_t>(alive) + 1;
 }
 
 /// Adds a random subset of all members, whether or not they have pending updates.
-void Membership::addRandomMembers(NewsBatch& message) {
+void Membership::addRandomMembers(GossipMessage& message) {
   std::vector<const Member*> all;
   for (const auto& [id, member] : members_) {
-    if (member.news.state != MemberState::dead) all.push_back(&member);
+    if (member.status.state != MemberState::dead) all.push_back(&member);
   }
   std::shuffle(all.begin(), all.end(), random_);
   if (all.size() > policy_.membersForLaggingPeer) all.resize(policy_.membersForLaggingPeer);
-  for (const Member* member : all) message.members.push_back(member->news);
+  for (const Member* member : all) message.members.push_back(member->status);
 }
 
-NewsBatch Membership::compose(Instant now, std::uint64_t peerMemberCount) {
-  NewsBatch message;
+GossipMessage Membership::compose(Instant now, std::uint64_t peerMemberCount) {
+  GossipMessage message;
   message.sender = self_;
   message.known = memberCount();
   if (peerMemberCount < message.known) {
@@ -155,10 +156,10 @@
   std::vector<std::pair<std::size_t, DaemonId>> selected;
   for (const auto& [id, update] : pendingUpdates_) selected.emplace_back(update.sendCount, id);
   std::sort(selected.begin(), selected.end());
-  if (selected.size() > policy_.membersPerBatch) selected.resize(policy_.membersPerBatch);
+  if (selected.size() > policy_.membersPerMessage) selected.resize(policy_.membersPerMessage);
   for (const auto& [sendCount, id] : selected) {
     const auto member = members_.find(id);
-    if (member != members_.end()) message.members.push_back(member->second.news);
+    if (member != members_.end()) message.members.push_back(member->second.status);
     if (member == members_.end() || sendCount + 1 >= limit) {
       pendingUpdates_.erase(id);
     } else {
@@ -168,10 +169,10 @@
   // Without pending updates, a random member is sent to repair updates that were lost.
   if (selected.empty() && !members_.empty()) {
     const auto offset = static_cast<std::ptrdiff_t>(random_() % members_.size());
-    message.members.push_back(std::next(members_.begin(), offset)->second.news);
+    message.members.push_back(std::next(members_.begin(), offset)->second.status);
   }
   for (auto& [upstream, leave] : leaves_) {
-    if (leave.sendCount >= limit || message.leaves.size() >= policy_.leavesPerBatch) continue;
+    if (leave.sendCount >= limit || message.leaves.size() >= policy_.leavesPerMessage) continue;
     ++leave.sendCount;
     const auto left = std::chrono::duration_cast<Millis>(leave.end - now);
     message.leaves.push_back({upstream, std::max(left, Millis(0)), leave.source});
@@ -179,21 +180,21 @@
   return message;
 }
 
-std::vector<MembershipAction> Membership::receive(const NewsBatch& message, Instant now) {
+std::vector<MembershipAction> Membership::receive(const GossipMessage& message, Instant now) {
   std::vector<MembershipAction> actions;
   seeds_.erase(message.sender.address);
   outstanding_.erase(message.sender.id);
   bool ownersChanged = false;
   // Members from a full sync are already known to the other peers: not disseminated further.
-  const bool fullSync = message.members.size() > policy_.membersPerBatch;
-  for (const MemberNews& news : message.members)
-    ownersChanged = applyUpdate(news, now, !fullSync) || ownersChanged;
+  const bool fullSync = message.members.size() > policy_.membersPerMessage;
+  for (const MemberStatus& status : message.members)
+    ownersChanged = applyUpdate(status, now, !fullSync) || ownersChanged;
   ownersChanged = applyUpdate(message.sender, now, true) || ownersChanged;
   if (const auto sender = members_.find(message.sender.id); sender != members_.end()) {
     sender->second.lastReceived = now;
-    sender->second.news.revision = message.sender.revision;
-    sender->second.news.hostsVersion = message.sender.hostsVersion;
-    if (sender->second.news.state == MemberState::suspect) {
+    sender->second.status.revision = message.sender.revision;
+    sender->second.status.hostsVersion = message.sender.hostsVersion;
+    if (sender->second.status.state == MemberState::suspect) {
       setState(sender->second, MemberState::alive, now);
     }
   }
@@ -204,7 +205,7 @@
   if (message.sender.hostsVersion > self_.hostsVersion) {
     actions.emplace_back(NewerHosts{message.sender.address, message.sender.hostsVersion});
   }
-  for (const LeaveNews& announcement : message.leaves) {
+  for (const LeaveAnnouncement& announcement : message.leaves) {
     for (MembershipAction& action : announceLeave(announcement, now))
       actions.push_back(std::move(action));
   }
@@ -212,42 +213,44 @@
 }
 
 /// \returns whether the set of members that may own shards changed.
-bool Membership::applyUpdate(const MemberNews& news, Instant now, bool disseminate) {
-  if (news.id == self_.id) return refute(news);
-  const auto [it, isNew] = members_.try_emplace(news.id, Member{news, now, Instant{}});
+bool Membership::applyUpdate(const MemberStatus& status, Instant now, bool disseminate) {
+  if (status.id == self_.id) return refute(status);
+  const auto [it, isNew] = members_.try_emplace(status.id, Member{status, now, Instant{}});
   Member& member = it->second;
   if (isNew) {
-    if (disseminate) pendingUpdates_[news.id] = PendingUpdate{};
-    return mayOwnShards(news.state);
+    if (disseminate) pendingUpdates_[status.id] = PendingUpdate{};
+    return mayOwnShards(status.state);
   }
-  if (news.incarnation < member.news.incarnation) return false;
-  const bool sameIncarnation = news.incarnation == member.news.incarnation;
-  if (sameIncarnation && news.state <= member.news.state) {
-    member.news.revision = std::max(member.news.revision, news.revision);
+  if (status.incarnation < member.status.incarnation) return false;
+  const bool sameIncarnation = status.incarnation == member.status.incarnation;
+  if (sameIncarnation && status.state <= member.status.state) {
+    member.status.revision = std::max(member.status.revision, status.revision);
     return false;
   }
-  const bool couldOwnShards = mayOwnShards(member.news.state);
-  member.news = news;
+  const bool couldOwnShards = mayOwnShards(member.status.state);
+  member.status = status;
   member.stateSince = now;
-  pendingUpdates_[news.id] = PendingUpdate{};
-  return couldOwnShards != mayOwnShards(news.state) || !sameIncarnation;
+  pendingUpdates_[status.id] = PendingUpdate{};
+  return couldOwnShards != mayOwnShards(status.state) || !sameIncarnation;
 }
 
-bool Membership::refute(const MemberNews& news) {
-  const bool refutable = news.state == MemberState::suspect || news.state == MemberState::dead;
-  if (refutable && news.incarnation >= self_.incarnation) self_.incarnation = news.incarnation + 1;
+bool Membership::refute(const MemberStatus& status) {
+  const bool refutable = status.state == MemberState::suspect || status.state == MemberState::dead;
+  if (refutable && status.incarnation >= self_.incarnation)
+    self_.incarnation = status.incarnation + 1;
   return false;
 }
 
 std::vector<MembershipAction> Membership::probeFailed(const DaemonId& target, Instant now) {
   outstanding_.erase(target);
   const auto it = members_.find(target);
-  if (it == members_.end() || it->second.news.domain != self_.domain) return {};
-  if (it->second.news.state == MemberState::alive) setState(it->second, MemberState::suspect, now);
+  if (it == members_.end() || it->second.status.domain != self_.domain) return {};
+  if (it->second.status.state == MemberState::alive)
+    setState(it->second, MemberState::suspect, now);
   return {};
 }
 
-std::vector<MembershipAction> Membership::announceLeave(const LeaveNews& announcement,
+std::vector<MembershipAction> Membership::announceLeave(const LeaveAnnouncement& announcement,
                                                         Instant now) {
   std::vector<MembershipAction> actions;
   const Instant end = now + announcement.remaining;
@@ -257,7 +260,7 @@
     it->second.end = std::min(it->second.end, end);
     return actions;
   }
-  actions.emplace_back(LeaveHeard{announcement});
+  actions.emplace_back(LeaveDiscovered{announcement});
   probeImmediately(now, actions);
   return actions;
 }
@@ -281,16 +284,16 @@
   std::vector<DaemonId> found;
   if (domain == self_.domain && mayOwnShards(self_.state)) found.push_back(self_.id);
   for (const auto& [id, member] : members_) {
-    if (member.news.domain == domain && mayOwnShards(member.news.state)) found.push_back(id);
+    if (member.status.domain == domain && mayOwnShards(member.status.state)) found.push_back(id);
   }
   std::sort(found.begin(), found.end());
   return found;
 }
 
-bool Membership::mayLive(const DaemonId& id) const {
+bool Membership::mayBeAlive(const DaemonId& id) const {
   if (id == self_.id) return true;
   const auto it = members_.find(id);
-  return it != members_.end() && it->second.news.state != MemberState::dead;
+  return it != members_.end() && it->second.status.state != MemberState::dead;
 }
 
 const Member* Membership::find(const DaemonId& id) const {
@@ -301,7 +304,7 @@
 std::vector<Member> Membership::others() const {
   std::vector<Member> found;
   for (const auto& [id, member] : members_) {
-    if (member.news.state != MemberState::dead) found.push_back(member);
+    if (member.status.state != MemberState::dead) found.push_back(member);
   }
   return found;
 }
--- a/Hallchute/src/Membership/Membership.h
+++ b/Hallchute/src/Membership/Membership.h
@@ -12,10 +12,10 @@
 #include <string>
 #include <vector>
 
+#include "Hallchute/src/Membership/GossipMessage.h"
 #include "Hallchute/src/Membership/Member.h"
 #include "Hallchute/src/Membership/MembershipAction.h"
 #include "Hallchute/src/Membership/MembershipPolicy.h"
-#include "Hallchute/src/Membership/NewsBatch.h"
 
 namespace Hallchute {
 
@@ -29,7 +29,7 @@
 /// A tick is linear in the number of members.
 class Membership {
  public:
-  Membership(MembershipPolicy policy, MemberNews self, std::uint64_t seed);
+  Membership(MembershipPolicy policy, MemberStatus self, std::uint64_t seed);
 
   /// \brief Adds an address to probe until a daemon answers from it.
   void addSeed(const std::string& address);
@@ -37,23 +37,23 @@
   /// \brief Builds the next message. Counts each update's transmissions, which are bounded.
   /// \param peerKnows how many daemons the receiver knows; one that knows fewer gets a larger
   /// message.
-  NewsBatch compose(Instant now, std::uint64_t peerMemberCount = UINT64_MAX);
+  GossipMessage compose(Instant now, std::uint64_t peerMemberCount = UINT64_MAX);
   /// \brief Applies a message received from a peer, either a probe or an answer.
-  std::vector<MembershipAction> receive(const NewsBatch& message, Instant now);
+  std::vector<MembershipAction> receive(const GossipMessage& message, Instant now);
   /// \brief Reports that the probe of \p target failed at once (connection refused or reset).
   std::vector<MembershipAction> probeFailed(const DaemonId& target, Instant now);
   /// \brief Starts to disseminate the leave of an upstream.
-  std::vector<MembershipAction> announceLeave(const LeaveNews& announcement, Instant now);
+  std::vector<MembershipAction> announceLeave(const LeaveAnnouncement& announcement, Instant now);
   /// \brief Marks this daemon as leaving: it owns no shards from now on.
   std::vector<MembershipAction> leave(Instant now);
   void setRevision(std::uint64_t revision) { self_.revision = revision; }
   void setHostsVersion(std::uint64_t version) { self_.hostsVersion = version; }
 
-  const MemberNews& self() const { return self_; }
+  const MemberStatus& self() const { return self_; }
   /// \brief Daemons of \p domain that may own shards, this one included, ordered by id.
   std::vector<DaemonId> owners(const DomainName& domain) const;
   /// \brief Whether \p id is this daemon or a known member that is not dead.
-  bool mayLive(const DaemonId& id) const;
+  bool mayBeAlive(const DaemonId& id) const;
   const Member* find(const DaemonId& id) const;
   /// \brief All other members that are not dead.
   std::vector<Member> others() const;
@@ -71,19 +71,19 @@
     Instant sentAt;
   };
 
-  bool applyUpdate(const MemberNews& news, Instant now, bool disseminate);
-  bool refute(const MemberNews& news);
+  bool applyUpdate(const MemberStatus& news, Instant now, bool disseminate);
+  bool refute(const MemberStatus& news);
   void setState(Member& member, MemberState state, Instant now);
   void expireTimeouts(Instant now, std::vector<MembershipAction>& actions);
   void probe(const Member& member, Instant now, std::vector<MembershipAction>& actions);
   const Member* nextTarget(bool otherDomain);
-  void addRandomMembers(NewsBatch& message);
+  void addRandomMembers(GossipMessage& message);
   std::uint64_t memberCount() const;
   std::size_t retransmitLimit() const;
   void probeImmediately(Instant now, std::vector<MembershipAction>& actions);
 
   MembershipPolicy policy_;
-  MemberNews self_;
+  MemberStatus self_;
   std::mt19937_64 random_;
   std::map<DaemonId, Member> members_;
   std::map<DaemonId, PendingUpdate> pendingUpdates_;
--- a/Hallchute/src/Membership/MembershipAction.h
+++ b/Hallchute/src/Membership/MembershipAction.h
@@ -9,7 +9,7 @@
 
 #include "Hallchute/src/Core/Id.h"
 #include "Hallchute/src/Core/Time.h"
-#include "Hallchute/src/Membership/NewsBatch.h"
+#include "Hallchute/src/Membership/GossipMessage.h"
 
 namespace Hallchute {
 
@@ -27,14 +27,14 @@
 
 /// \brief This daemon was paused for so long that others may have taken over its shards.
 /// \ingroup Membership
-struct WokeOutdated {
+struct LongPauseDetected {
   Millis gap{0};
 };
 
 /// \brief The leave of an upstream became known.
 /// \ingroup Membership
-struct LeaveHeard {
-  LeaveNews news;
+struct LeaveDiscovered {
+  LeaveAnnouncement announcement;
 };
 
 /// \brief A peer has a newer settings revision.
@@ -52,8 +52,8 @@
 };
 
 /// \ingroup Membership
-using MembershipAction =
-    std::variant<SendProbe, OwnersChanged, WokeOutdated, LeaveHeard, NewerSettings, NewerHosts>;
+using MembershipAction = std::variant<SendProbe, OwnersChanged, LongPauseDetected, LeaveDiscovered,
+                                      NewerSettings, NewerHosts>;
 
 }  // namespace Hallchute
 
--- a/Hallchute/src/Membership/MembershipPolicy.h
+++ b/Hallchute/src/Membership/MembershipPolicy.h
@@ -22,10 +22,10 @@
   /// A member of another failure domain is probed once in this many periods.
   std::size_t otherDomainPeriods = 4;
   /// Upper bound of the members in a message, its sender not counted.
-  std::size_t membersPerBatch = 6;
+  std::size_t membersPerMessage = 6;
   /// Upper bound for a peer that knows fewer members, as after joining or a network partition.
   std::size_t membersForLaggingPeer = 64;
-  std::size_t leavesPerBatch = 16;
+  std::size_t leavesPerMessage = 16;
   /// Peers probed at once, outside the probe period, when a leave is first known.
   std::size_t immediateProbes = 3;
   /// Gap between ticks from which the daemon treats its own state as outdated.
--- a/Hallchute/src/Membership/UpstreamDirectory.h
+++ b/Hallchute/src/Membership/UpstreamDirectory.h
@@ -11,8 +11,8 @@
 #include <vector>
 
 #include "Hallchute/src/Core/Time.h"
+#include "Hallchute/src/Membership/GossipMessage.h"
 #include "Hallchute/src/Membership/HostListEntry.h"
-#include "Hallchute/src/Membership/NewsBatch.h"
 
 namespace Hallchute {
 
@@ -33,8 +33,8 @@
  public:
   /// \brief Applies a host list.
   /// \returns the leaves that were not known before this list.
-  std::vector<LeaveNews> applyList(std::uint64_t version, std::span<const HostListEntry> hosts,
-                                   Instant now);
+  std::vector<LeaveAnnouncement> applyHostList(std::uint64_t version,
+                                               std::span<const HostListEntry> hosts, Instant now);
   /// \brief Records a reported leave.
   /// \returns whether the leave was not known before.
   bool noteLeave(const UpstreamId& upstream, Millis remaining, Instant now);
--- a/Hallchute/src/Recovery/AnswerAssembler.h
+++ b/Hallchute/src/Recovery/AnswerAssembler.h
@@ -15,9 +15,9 @@
 
 /// \brief The result of adding a chunk.
 /// \ingroup Recovery
-enum class ChunkVerdict {
+enum class ChunkResult {
   /// It was the next token and has been appended.
-  taken,
+  appended,
   /// It was the end mark: the answer is complete.
   finished,
   /// It belongs to another attempt.
@@ -40,7 +40,7 @@
   std::uint64_t beginAttempt();
   /// \brief Resumes from the tokens that another daemon has assembled.
   void restore(std::uint64_t epoch, std::vector<std::string> tokens);
-  ChunkVerdict take(const AnswerChunk& chunk);
+  ChunkResult accept(const AnswerChunk& chunk);
 
   std::uint64_t epoch() const { return epoch_; }
   const std::vector<std::string>& tokens() const { return tokens_; }
--- a/Hallchute/src/Recovery/RetryBudget.cpp
+++ b/Hallchute/src/Recovery/RetryBudget.cpp
@@ -15,11 +15,11 @@
 
 RetryBudget::RetryBudget(double ratio) : ratio_(ratio), available_(kBurstRetries) {}
 
-void RetryBudget::noteFirstAttempt() {
+void RetryBudget::recordFirstAttempt() {
   available_ = std::min(kBurstRetries, available_ + ratio_);
 }
 
-bool RetryBudget::takeRetry() {
+bool RetryBudget::tryConsumeRetry() {
   if (available_ < 1) return false;
   available_ -= 1;
   return true;
--- a/Hallchute/src/Recovery/RetryBudget.h
+++ b/Hallchute/src/Recovery/RetryBudget.h
@@ -15,10 +15,10 @@
   /// \param ratio retries allowed per first attempt.
   explicit RetryBudget(double ratio);
   void setRatio(double ratio) { ratio_ = ratio; }
-  void noteFirstAttempt();
+  void recordFirstAttempt();
   /// \brief Consumes one retry from the budget.
   /// \returns false if the budget is exhausted.
-  bool takeRetry();
+  bool tryConsumeRetry();
 
  private:
   double ratio_;
