--- a/Hallchute/src/Gateway/GatewaySettings.h
+++ b/Hallchute/src/Gateway/GatewaySettings.h
@@ -16,46 +16,46 @@
 
 namespace Hallchute {
 
-/// \brief How often a request of a route may run, and how its answer comes. \ingroup Gateway
+/// \brief Whether a route's requests may be retried, and the form of the response. \ingroup Gateway
 enum class WorkKind {
-  /// May run more than once; the answer comes whole.
+  /// May run more than once; the response is not streamed.
   repeatable,
-  /// Runs at most once; the answer comes whole.
+  /// Runs at most once; the response is not streamed.
   once,
-  /// The answer comes as a stream of events; runs at most once unless the route resumes.
+  /// The response is an event stream; runs at most once unless the route is resumable.
   stream,
 };
 
-/// \brief One service of a route and its part of the requests. \ingroup Gateway
+/// \brief A service of a route and its weight in the traffic split. \ingroup Gateway
 struct RouteTarget {
   ServiceName service;
   std::uint32_t weight = 1;
 };
 
-/// \brief Which requests go where, and what they may take. \ingroup Gateway
+/// \brief Maps requests to services and sets their limits and objectives. \ingroup Gateway
 struct Route {
   std::string name;
   /// Lower case, without a port.
   std::string host;
-  /// Begins and ends with a slash.
+  /// Starts and ends with a slash.
   std::string pathPrefix;
   WorkKind kind = WorkKind::once;
   std::vector<RouteTarget> targets;
-  /// The longest time a request is held.
+  /// Maximum duration of a request, retries included.
   Millis timeLimit{60'000};
-  /// Within it an answer, or a stream's first event, is in time.
+  /// Target time to the response or, for a stream, to its first event.
   Millis latencyObjective{1'000};
-  /// The longest pause between events that keeps a stream in time; zero for other kinds.
+  /// Target for the longest gap between events of a stream; zero for other kinds.
   Millis pauseObjective{0};
-  /// 0 is the most urgent.
+  /// 0 is the highest priority.
   int priority = 0;
-  /// Upstreams at which one request may run.
+  /// Maximum number of upstreams that may run the same request.
   int maxRuns = 1;
-  /// Needs no key.
+  /// Requests need no API key.
   bool open = false;
-  /// A broken stream may go on at another upstream.
+  /// An interrupted stream may be continued by another upstream.
   bool resumable = false;
-  /// Requests share prompt parts that engines keep.
+  /// Requests share prompt prefixes that engines cache.
   bool sharesPrompts = false;
 
   /// \brief Whether a request may run more than once.
@@ -64,52 +64,52 @@
   }
 };
 
-/// \brief What an engine's replicas can do at once. \ingroup Gateway
+/// \brief Capacity of one replica of an engine. \ingroup Gateway
 struct EngineTraits {
   std::uint32_t slots = 1;
-  /// Tokens of running requests and kept prompt parts together.
+  /// Cache capacity in tokens, shared by running requests and cached prompt prefixes.
   std::uint64_t cacheTokens = 0;
 };
 
-/// \brief Between which numbers replicas may be ordered, and what they cost. \ingroup Gateway
+/// \brief Autoscaling bounds, startup time and prices of replicas. \ingroup Gateway
 struct ReplicaLimits {
-  /// In each failure domain.
+  /// Per failure domain.
   std::uint32_t least = 1;
   std::uint32_t most = 1;
   Millis boot{0};
-  /// The price of a reclaimable replica as a part of an on-demand one's; absent where there are
-  /// none to be had.
+  /// Price of a reclaimable replica as a fraction of the on-demand price; absent if reclaimable
+  /// replicas are not offered.
   std::optional<double> reclaimablePrice;
   std::map<DomainName, double> domainPrices;
 };
 
-/// \brief A service that requests are routed to. \ingroup Gateway
+/// \brief A target service of routes. \ingroup Gateway
 struct GatewayService {
   ServiceName name;
-  /// Connections that one upstream takes from all daemons together.
+  /// Connection limit of one upstream, over all daemons.
   std::uint32_t maxConnections = 64;
   std::optional<EngineTraits> engine;
   std::optional<ReplicaLimits> replicas;
 };
 
-/// \brief An organisation's keys and limits. \ingroup Gateway
+/// \brief An organisation's API keys, priority and rate limit. \ingroup Gateway
 struct GatewayOrganisation {
   OrganisationName name;
   std::vector<std::string> keys;
-  /// Goes before the route's priority.
+  /// Overrides the route's priority.
   std::optional<int> priority;
   /// Whether rate and burst count tokens rather than requests.
   bool countsTokens = false;
-  /// What a request counts that tells no tokens.
+  /// Tokens charged for a request that does not state its token count.
   std::uint64_t plainTokens = 1;
-  /// Per second over all daemons; 0 is no limit.
+  /// Per second over all daemons; 0 means unlimited.
   double rate = 0;
   double burst = 0;
 };
 
-/// \brief Everything that decides the course of passed-through requests. \ingroup Gateway
+/// \brief Settings for proxied requests. \ingroup Gateway
 struct GatewaySettings {
-  /// Rises with each change, not always by one.
+  /// Increases with every change, not necessarily by one.
   std::uint64_t version = 0;
   std::vector<Route> routes;
   std::vector<GatewayService> services;
--- a/Hallchute/src/Gateway/QuotaFleet.h
+++ b/Hallchute/src/Gateway/QuotaFleet.h
@@ -11,21 +11,21 @@
 
 namespace Hallchute {
 
-/// \brief The daemons that spend the same quotas, as one of them sees the others. \ingroup Gateway
+/// \brief One daemon's view of the fleet that shares the quotas. \ingroup Gateway
 struct QuotaFleet {
-  /// Those that are heard of, this one included.
+  /// Daemons whose reports arrive, including this one.
   std::size_t heard = 1;
-  /// Of those that are likely to run, the part that is heard of: above 0, at most 1.
+  /// Fraction of the presumably running daemons whose reports arrive, in (0, 1].
   double heardPart = 1;
-  /// One daemon's share of the fleet: what it may hold of a quota whose earlier use it doesn't
-  /// know. Nothing while the size of the fleet isn't known.
+  /// One daemon's share of the fleet, and so of a quota whose earlier use is unknown to it. Empty
+  /// while the fleet size is unknown.
   std::optional<double> ownPart;
-  /// The others have not been met yet: each daemon spends its own share, and what others spend
-  /// comes out of theirs.
+  /// Peer discovery is in progress: each daemon spends its own share, and the spending of peers is
+  /// charged to their shares.
   bool meeting = false;
-  /// How long that takes yet at most.
+  /// Upper bound on the remaining discovery time.
   Millis meetingLeft{0};
-  /// How long what one daemon spends takes to be known to all.
+  /// Time until the spending of one daemon has been reported to all others.
   Millis reportLag{0};
 };
 
--- a/Hallchute/src/Gateway/QuotaLedger.cpp
+++ b/Hallchute/src/Gateway/QuotaLedger.cpp
@@ -11,57 +11,62 @@
 namespace Hallchute {
 namespace {
 
-/// A refusal asks for at least this much patience: a shorter one would only be refused again.
-constexpr double kLeastWaitMs = 50;
-/// The part of the tolerance that the buckets of a whole fleet hold when it starts. All daemons may
-/// restart twice within a window: two such parts and what late news lets through must fit in.
-/// Fleets of 1 to 77 that restart so while asked for 2.5 times the quota admit at most 9.8 seconds'
-/// worth of a rate in a window that allows 10.1 (a virtual-time test).
-constexpr double kToleranceAtStart = 0.25;
-/// For how many seconds daemons spend unheard before they are taken as out of reach.
-constexpr double kUnnoticedS = 1.0;
-/// Over how many seconds the rate of what others spend is taken: several reports.
-constexpr double kRateMemoryS = 2.0;
-/// How many times as much as is spent is taken to be asked for, at most. Organisations were seen to
-/// ask six times their usual, which is some three times their quota, and refused callers come back.
-constexpr double kAskedOverSpent = 4.0;
-/// The part of the tolerance that late news may use up; the rest is for restarts and cuts.
-constexpr double kToleranceUsed = 0.5;
-/// What late news may use up in the first window after a start: what was overdrawn before it is not
-/// known any more. With a half here, the fleets of that test admit up to 10.7.
-constexpr double kToleranceUsedAtStart = 0.1;
-/// Over how many seconds the rate of what is asked for here is taken: long enough that one request
-/// doesn't look like many, short enough to follow a jump of the demand.
-constexpr double kAskedMemoryS = 2.0;
-
-/// Adds an amount to a rate per second that forgets with \p memoryS.
-void noteRate(double& rate, Instant& at, double memoryS, double amount, Instant now) {
-  const std::chrono::duration<double> passed = now - at;
-  at = now;
-  rate *= std::exp(-passed.count() / memoryS);
-  rate += amount / memoryS;
+/// Minimum retry delay of a refusal: an earlier retry would be refused again.
+constexpr double kMinRetryAfterMs = 50;
+/// Fraction of the tolerance that the buckets of the whole fleet hold at its start. All daemons may
+/// restart twice within a window, so the tolerance must cover two initial levels and the overdraft
+/// from delayed reports. In a virtual-time test, fleets of 1 to 77 daemons that restart twice under
+/// a demand of 2.5 times the quota admit at most 9.8 seconds' worth of the rate in a window that
+/// allows 10.1.
+constexpr double kInitialLevelTolerance = 0.25;
+/// Time for which daemons spend without reporting before they are considered unreachable.
+constexpr double kFailureDetectionS = 1.0;
+/// Time constant of the peers' average spending rate; it spans several reports.
+constexpr double kSpendRateTimeConstantS = 2.0;
+/// Maximum assumed ratio of demand to spending. Demand peaks reach six times an organisation's
+/// usual rate, about three times its quota, and refused callers retry.
+constexpr double kMaxDemandPerSpend = 4.0;
+/// Fraction of the tolerance reserved for delayed reports; the rest covers restarts and network
+/// partitions.
+constexpr double kReportLagTolerance = 0.5;
+/// Same fraction in the first window after a start, when the overdraft from before the start is
+/// unknown. With 0.5, the fleets of the test at kInitialLevelTolerance admit up to 10.7 seconds'
+/// worth.
+constexpr double kReportLagToleranceAtStart = 0.1;
+/// Time constant of the average demand at this daemon: long enough that a single request doesn't
+/// dominate the average, short enough to follow a step in demand.
+constexpr double kDemandTimeConstantS = 2.0;
+
+/// Adds an amount to an exponentially decaying average rate per second.
+void addToDecayingRate(double& rate, Instant& updated, double timeConstantS, double amount,
+                       Instant now) {
+  const std::chrono::duration<double> elapsed = now - updated;
+  updated = now;
+  rate *= std::exp(-elapsed.count() / timeConstantS);
+  rate += amount / timeConstantS;
 }
 
 }  // namespace
 
 void QuotaLedger::refill(Bucket& bucket, Instant now) const {
-  const std::chrono::duration<double> passed = now - bucket.filled;
-  bucket.filled = now;
+  const std::chrono::duration<double> elapsed = now - bucket.refilled;
+  bucket.refilled = now;
   bucket.level =
-      std::min(bucket.burst, bucket.level + passed.count() * bucket.rate * fleet_.heardPart);
+      std::min(bucket.burst, bucket.level + elapsed.count() * bucket.rate * fleet_.heardPart);
 }
 
 QuotaLedger::Bucket& QuotaLedger::bucketOf(const GatewayOrganisation& organisation, Instant now) {
   Bucket& bucket = buckets_[organisation.name];
-  if (!bucket.known) {
+  if (!bucket.initialised) {
     bucket = {0, organisation.rate, organisation.burst, started_, true};
-    bucket.level = startLevel(bucket);
+    bucket.level = initialLevel(bucket);
     refill(bucket, now);
     return bucket;
   }
   refill(bucket, now);
   if (bucket.rate != organisation.rate || bucket.burst != organisation.burst) {
-    // A raised burst is there at once, a lowered one binds at once.
+    // Raising the burst adds the difference to the level at once; lowering it caps the level at
+    // once.
     bucket.level += std::max(0.0, organisation.burst - bucket.burst);
     bucket.rate = organisation.rate;
     bucket.burst = organisation.burst;
@@ -77,57 +82,59 @@
   }
 }
 
-double QuotaLedger::tolerated(const Bucket& bucket) const {
+double QuotaLedger::allowedOverdraft(const Bucket& bucket) const {
   const std::chrono::duration<double> window = tolerance_.window;
   return tolerance_.part * (bucket.rate * window.count() + bucket.burst) + tolerance_.slack;
 }
 
-double QuotaLedger::startLevel(const Bucket& bucket) const {
-  const double whole = std::min(bucket.burst, tolerated(bucket) * kToleranceAtStart);
-  return whole * fleet_.ownPart.value_or(0);
+double QuotaLedger::initialLevel(const Bucket& bucket) const {
+  const double fleetLevel =
+      std::min(bucket.burst, allowedOverdraft(bucket) * kInitialLevelTolerance);
+  return fleetLevel * fleet_.ownPart.value_or(0);
 }
 
-double QuotaLedger::unheard(const Bucket& bucket, Instant now) const {
-  // One daemon's few requests tell little of the others': what they spend tells more, though it
-  // stays behind what they are asked while quotas bind.
-  const double byOwn = bucket.asked * static_cast<double>(fleet_.heard);
-  const double byOthers = bucket.elsewhere * kAskedOverSpent;
+double QuotaLedger::expectedUnreported(const Bucket& bucket, Instant now) const {
+  // Local demand is a noisy estimate when there are few requests. Reported spending is more
+  // accurate, but lower than the demand while the quota limits it.
+  const double fromOwnDemand = bucket.demand * static_cast<double>(fleet_.heard);
+  const double fromPeerSpend = bucket.peerSpendRate * kMaxDemandPerSpend;
   const std::chrono::duration<double> lag = fleet_.heard > 1 ? fleet_.reportLag : Millis(0);
-  const double asked = std::min(byOwn, byOthers) * lag.count();
-  const bool early = now - started_ < tolerance_.window;
-  const double part = early ? kToleranceUsedAtStart : kToleranceUsed;
-  return std::max(0.0, asked - tolerated(bucket) * part);
+  const double demand = std::min(fromOwnDemand, fromPeerSpend) * lag.count();
+  const bool starting = now - started_ < tolerance_.window;
+  const double part = starting ? kReportLagToleranceAtStart : kReportLagTolerance;
+  return std::max(0.0, demand - allowedOverdraft(bucket) * part);
 }
 
-/// How long a bucket takes to gain an amount. A fleet of unknown size spends next to nothing until
-/// it has met: by that alone callers were told to wait up to a hundred times as long as needed.
-double QuotaLedger::fillMs(const Bucket& bucket, double amount) const {
+/// Time for a bucket to gain an amount. During discovery in a fleet of unknown size the refill rate
+/// is close to zero; an estimate from this rate alone is up to a hundred times too long, so it is
+/// bounded by the remaining discovery time plus the time at the full rate.
+double QuotaLedger::refillTimeMs(const Bucket& bucket, double amount) const {
   constexpr double kMsPerS = 1'000;
-  const double wholeRate = amount / bucket.rate * kMsPerS;
-  const double byHeard = wholeRate / fleet_.heardPart;
-  if (!fleet_.meeting || fleet_.ownPart) return byHeard;
-  return std::min(byHeard, static_cast<double>(fleet_.meetingLeft.count()) + wholeRate);
+  const double atFullRate = amount / bucket.rate * kMsPerS;
+  const double atLiveRate = atFullRate / fleet_.heardPart;
+  if (!fleet_.meeting || fleet_.ownPart) return atLiveRate;
+  return std::min(atLiveRate, static_cast<double>(fleet_.meetingLeft.count()) + atFullRate);
 }
 
 std::optional<QuotaShortage> QuotaLedger::take(const GatewayOrganisation& organisation,
                                                double amount, Instant now, double draw) {
   if (organisation.rate <= 0) return std::nullopt;
   Bucket& bucket = bucketOf(organisation, now);
-  noteRate(bucket.asked, bucket.askedAt, kAskedMemoryS, amount, now);
-  const double ahead = unheard(bucket, now);
-  // A request larger than the burst is admitted from a full bucket, and what it owes is paid later.
+  addToDecayingRate(bucket.demand, bucket.demandUpdated, kDemandTimeConstantS, amount, now);
+  const double unreported = expectedUnreported(bucket, now);
+  // A request larger than the burst is admitted from a full bucket and leaves it negative.
   const double needed = std::min(amount, bucket.burst);
-  const bool drawn = bucket.level >= ahead || draw * ahead < bucket.level;
-  if (bucket.level >= needed && drawn) {
+  const bool admitted = bucket.level >= unreported || draw * unreported < bucket.level;
+  if (bucket.level >= needed && admitted) {
     bucket.level -= amount;
     spent_[organisation.name] += amount;
     return std::nullopt;
   }
-  const double missing = std::min(needed + ahead, bucket.burst) - bucket.level;
-  const double waitMs = std::max(kLeastWaitMs, std::ceil(fillMs(bucket, missing)));
-  // All that are refused at a time must not come back at a time.
+  const double deficit = std::min(needed + unreported, bucket.burst) - bucket.level;
+  const double waitMs = std::max(kMinRetryAfterMs, std::ceil(refillTimeMs(bucket, deficit)));
+  // Jitter keeps requests refused at the same time from retrying at the same time.
   const Millis comeBack(static_cast<Millis::rep>(waitMs * (1 + draw)));
-  return QuotaShortage{comeBack, bucket.level, needed, ahead};
+  return QuotaShortage{comeBack, bucket.level, needed, unreported};
 }
 
 void QuotaLedger::giveBack(const OrganisationName& organisation, double amount) {
@@ -142,29 +149,31 @@
   if (it == buckets_.end()) return;
   Bucket& bucket = it->second;
   if (!fleet_.meeting) bucket.level -= amount;
-  noteRate(bucket.elsewhere, bucket.heard, kRateMemoryS, amount, now);
+  addToDecayingRate(bucket.peerSpendRate, bucket.peerSpendUpdated, kSpendRateTimeConstantS, amount,
+                    now);
 }
 
-void QuotaLedger::noteHeardPart(double part, Instant now) {
-  const double kept = part / fleet_.heardPart;
+void QuotaLedger::applyLiveFraction(double part, Instant now) {
+  const double remaining = part / fleet_.heardPart;
   for (auto& [name, bucket] : buckets_) {
     refill(bucket, now);
-    if (kept >= 1) continue;
-    // What the lost ones spent until their silence was noticed, and their part of what is left.
-    bucket.level -= bucket.elsewhere * kUnnoticedS * (1 - kept);
-    if (bucket.level > 0) bucket.level *= kept;
+    if (remaining >= 1) continue;
+    // Deducts the estimated spending of the lost peers until the loss was detected, and their share
+    // of the remaining level.
+    bucket.level -= bucket.peerSpendRate * kFailureDetectionS * (1 - remaining);
+    if (bucket.level > 0) bucket.level *= remaining;
   }
 }
 
 void QuotaLedger::setFleet(const QuotaFleet& fleet, Instant now) {
-  noteHeardPart(fleet.heardPart, now);
+  applyLiveFraction(fleet.heardPart, now);
   const bool sizeKnown = fleet_.ownPart.has_value();
-  const std::optional<double> first = sizeKnown ? fleet_.ownPart : fleet.ownPart;
+  const std::optional<double> initialShare = sizeKnown ? fleet_.ownPart : fleet.ownPart;
   fleet_ = fleet;
-  // Later sizes change what is heard, not what was there at the start.
-  fleet_.ownPart = first;
-  if (sizeKnown || !first) return;
-  for (auto& [name, bucket] : buckets_) bucket.level += startLevel(bucket);
+  // Later fleet sizes change the live fraction, not the initial level.
+  fleet_.ownPart = initialShare;
+  if (sizeKnown || !initialShare) return;
+  for (auto& [name, bucket] : buckets_) bucket.level += initialLevel(bucket);
 }
 
 }  // namespace Hallchute
--- a/Hallchute/src/Gateway/QuotaLedger.h
+++ b/Hallchute/src/Gateway/QuotaLedger.h
@@ -17,50 +17,51 @@
 
 struct GatewayOrganisation;
 
-/// \brief What daemons have admitted of each organisation since they started, in its unit.
+/// \brief Amounts admitted since a daemon's start by organisation, in the unit of its quota.
 /// \ingroup Gateway
 using SpentQuota = std::map<OrganisationName, double>;
 
-/// \brief By how much the operator lets an organisation's quota be overdrawn. \ingroup Gateway
+/// \brief Permitted overdraft of an organisation's quota in a window. \ingroup Gateway
 struct QuotaTolerance {
-  /// Part of what the quota allows in a window.
+  /// Fraction of what the quota allows in a window.
   double part = 0;
-  /// On top, in the quota's unit.
+  /// Additional constant amount, in the quota's unit.
   double slack = 0;
   Millis window{8'000};
 };
 
-/// \brief Quotas that hold over all daemons together, kept by telling each other what was spent.
+/// \brief Fleet-wide quotas, enforced by daemons that report their spending to each other.
 /// \ingroup Gateway
 ///
-/// Each daemon keeps a bucket of the whole fleet's rate and takes off it what it admits at once and
-/// what others admitted as soon as it hears of it. What is spent twice while news travels is paid
-/// back by the buckets' debt. A daemon that hears nothing of some others leaves their part of the
-/// rate to them. One thread; no I/O, no clock.
+/// Each daemon keeps a token bucket that fills at the rate of the whole fleet, and deducts its own
+/// admissions immediately and those of peers when they are reported. Spending beyond the quota
+/// during the report delay leaves the buckets negative and is thereby repaid. A daemon that
+/// receives no reports from some peers reserves their share of the rate for them. Not thread-safe;
+/// no I/O, no clock.
 class QuotaLedger {
  public:
-  /// \param started when this daemon began. What was spent before is not known: buckets then hold
-  /// this daemon's share of a part of the tolerance, and fill from there.
+  /// \param started when this daemon started. Earlier spending is unknown, so buckets start with
+  /// this daemon's share of a fraction of the tolerance.
   explicit QuotaLedger(Instant started, QuotaTolerance tolerance = {})
       : started_(started), tolerance_(tolerance) {}
 
-  /// \brief Puts limits in force, also of organisations that only other daemons served so far.
+  /// \brief Applies limits, including those of organisations served only by other daemons so far.
   void setOrganisations(std::span<const GatewayOrganisation> organisations, Instant now);
-  /// \brief Takes \p amount of the organisation's quota.
-  /// \param draw from 0 to 1, a request's own: decides which ones go on while the fleet asks for
-  /// more than is left before it would hear of it, and spreads when the others come back.
-  /// \returns nothing if taken, else why not and when to come back.
+  /// \brief Deducts \p amount from the organisation's quota if it has room.
+  /// \param draw per-request random number in [0, 1]: selects which requests are admitted while the
+  /// expected unreported spending exceeds the level, and spreads the retry times of the others.
+  /// \returns nothing if admitted, otherwise the reason and the retry delay.
   std::optional<QuotaShortage> take(const GatewayOrganisation& organisation, double amount,
                                     Instant now, double draw = 0);
-  /// \brief Gives back what was taken for a request that did not run.
+  /// \brief Returns the amount deducted for a request that did not run.
   void giveBack(const OrganisationName& organisation, double amount);
-  /// \brief Another daemon admitted \p amount more than was known of it.
+  /// \brief Records a report that another daemon admitted a further \p amount.
   void noteSpentElsewhere(const OrganisationName& organisation, double amount, Instant now);
-  /// \brief How the others are heard now. The first known share of the fleet fills the buckets to
-  /// what they may hold at a start.
+  /// \brief Updates the view of the fleet. The first known share of the fleet adds the initial
+  /// level to the buckets.
   void setFleet(const QuotaFleet& fleet, Instant now);
   const QuotaFleet& fleet() const { return fleet_; }
-  /// \brief What this daemon admitted; only rises.
+  /// \brief Amounts admitted by this daemon; they never decrease.
   const SpentQuota& spent() const { return spent_; }
 
  private:
@@ -68,24 +69,24 @@
     double level = 0;
     double rate = 0;
     double burst = 0;
-    Instant filled{};
-    bool known = false;
-    /// What callers ask for per second here, refused or not.
-    double asked = 0;
-    Instant askedAt{};
-    /// What others spend per second, as heard lately.
-    double elsewhere = 0;
-    Instant heard{};
+    Instant refilled{};
+    bool initialised = false;
+    /// Requested amount per second at this daemon, refused requests included.
+    double demand = 0;
+    Instant demandUpdated{};
+    /// Amount per second that peers recently reported as spent.
+    double peerSpendRate = 0;
+    Instant peerSpendUpdated{};
   };
 
-  /// By how much a bucket's quota may be overdrawn in a window.
-  double tolerated(const Bucket& bucket) const;
-  /// What a bucket holds at this daemon's start.
-  double startLevel(const Bucket& bucket) const;
-  void noteHeardPart(double part, Instant now);
-  /// What the fleet is likely to admit before this daemon hears of it, beyond what is tolerated.
-  double unheard(const Bucket& bucket, Instant now) const;
-  double fillMs(const Bucket& bucket, double amount) const;
+  /// Permitted overdraft of a bucket's quota in a window.
+  double allowedOverdraft(const Bucket& bucket) const;
+  /// Bucket level when this daemon starts.
+  double initialLevel(const Bucket& bucket) const;
+  void applyLiveFraction(double part, Instant now);
+  /// Expected spending of peers during the report delay, beyond the part that the tolerance covers.
+  double expectedUnreported(const Bucket& bucket, Instant now) const;
+  double refillTimeMs(const Bucket& bucket, double amount) const;
   void refill(Bucket& bucket, Instant now) const;
   Bucket& bucketOf(const GatewayOrganisation& organisation, Instant now);
 
--- a/Hallchute/src/Gateway/QuotaShortage.h
+++ b/Hallchute/src/Gateway/QuotaShortage.h
@@ -8,15 +8,15 @@
 
 namespace Hallchute {
 
-/// \brief Why a quota has no room for a request; amounts in the quota's unit. \ingroup Gateway
+/// \brief Why a request exceeds its quota; amounts in the quota's unit. \ingroup Gateway
 struct QuotaShortage {
-  /// When the caller may come back.
+  /// Delay after which the caller may retry.
   Millis comeBack{0};
-  /// What the bucket holds; below 0 if more was admitted than there was.
+  /// Level of the token bucket; negative if the quota is overdrawn.
   double level = 0;
-  /// What it would have to hold.
+  /// Level that the request requires.
   double needed = 0;
-  /// What other daemons are likely to admit before this one hears of it.
+  /// Expected spending of other daemons that has not been reported yet.
   double unheard = 0;
 };
 
--- a/Hallchute/src/Gateway/RetryWindow.cpp
+++ b/Hallchute/src/Gateway/RetryWindow.cpp
@@ -8,8 +8,8 @@
 namespace Hallchute {
 namespace {
 
-/// The part of the slack that is used: daemons may know of fewer peers than there are.
-constexpr double kSlackUsed = 0.7;
+/// Fraction of the slack that is used, because daemons may underestimate the number of peers.
+constexpr double kUsableSlack = 0.7;
 
 void dropBefore(std::deque<Instant>& times, Instant start) {
   while (!times.empty() && times.front() < start) times.pop_front();
@@ -21,7 +21,7 @@
   dropBefore(requests_, now - allowance.window);
   dropBefore(repeats_, now - allowance.window);
   const double share =
-      allowance.slack * kSlackUsed / static_cast<double>(std::max(daemons, std::size_t{1}));
+      allowance.slack * kUsableSlack / static_cast<double>(std::max(daemons, std::size_t{1}));
   const double allowed = allowance.ratio * static_cast<double>(requests_.size()) + share;
   if (static_cast<double>(repeats_.size()) + 1 > allowed) return false;
   repeats_.push_back(now);
--- a/Hallchute/src/Gateway/RetryWindow.h
+++ b/Hallchute/src/Gateway/RetryWindow.h
@@ -11,24 +11,25 @@
 
 namespace Hallchute {
 
-/// \brief The fleet's bound on repeats, as the operator's platform states it. \ingroup Gateway
+/// \brief Retry budget of the fleet, as configured by the operator's platform. \ingroup Gateway
 struct RetryAllowance {
-  /// Repeats per request.
+  /// Retries per request.
   double ratio = 0.2;
-  /// Repeats in a window on top, over all daemons.
+  /// Additional retries in a window, over all daemons.
   double slack = 0;
   Millis window{10'000};
 };
 
-/// \brief One daemon's part of a service's retry budget in a sliding window. \ingroup Gateway
+/// \brief One daemon's share of a service's retry budget in a sliding window. \ingroup Gateway
 ///
-/// A daemon may repeat by its own requests of the window, plus its part of the fleet's slack. The
-/// sum over all daemons then stays within the bound whatever each of them sees of the others.
+/// A daemon's budget is the ratio times its own requests in the window, plus its share of the
+/// fleet's slack. The sum over all daemons stays within the fleet's budget without coordination.
 class RetryWindow {
  public:
   void noteRequest(Instant now) { requests_.push_back(now); }
-  /// \brief Takes a repeat if the budget has one left.
-  /// \param daemons how many share the slack.
+  /// \brief Records a retry if the budget allows it.
+  /// \returns whether it does.
+  /// \param daemons number of daemons that share the slack.
   bool takeRepeat(const RetryAllowance& allowance, std::size_t daemons, Instant now);
 
  private:
--- a/Hallchute/src/Gateway/RouteTable.cpp
+++ b/Hallchute/src/Gateway/RouteTable.cpp
@@ -14,7 +14,7 @@
 namespace Hallchute {
 namespace {
 
-std::string plainHost(std::string_view host) {
+std::string normaliseHost(std::string_view host) {
   const std::string_view name = host.substr(0, host.find(':'));
   return absl::AsciiStrToLower(absl::string_view(name.data(), name.size()));
 }
@@ -37,7 +37,7 @@
 }
 
 const Route* RouteTable::find(std::string_view host, std::string_view target) const {
-  const auto it = byHost_.find(plainHost(host));
+  const auto it = byHost_.find(normaliseHost(host));
   if (it == byHost_.end()) return nullptr;
   const std::string_view path = target.substr(0, target.find('?'));
   for (const Route* route : it->second) {
@@ -61,10 +61,10 @@
       route.targets.begin(), route.targets.end(), std::uint64_t{0},
       [](std::uint64_t sum, const RouteTarget& target) { return sum + target.weight; });
   if (total == 0) return route.targets.front().service;
-  std::uint64_t place = stableHash(requestId) % total;
+  std::uint64_t position = stableHash(requestId) % total;
   for (const RouteTarget& target : route.targets) {
-    if (place < target.weight) return target.service;
-    place -= target.weight;
+    if (position < target.weight) return target.service;
+    position -= target.weight;
   }
   return route.targets.back().service;
 }
--- a/Hallchute/src/Gateway/RouteTable.h
+++ b/Hallchute/src/Gateway/RouteTable.h
@@ -13,10 +13,10 @@
 
 namespace Hallchute {
 
-/// \brief Settings arranged for look-ups by request. Immutable; any thread.
+/// \brief Settings indexed for request lookup. Immutable and thread-safe.
 /// \ingroup Gateway
 ///
-/// Cost: a look-up is one hash and a pass over the host's routes, longest prefix first.
+/// A route lookup costs one hash and a linear scan of the host's routes, longest prefix first.
 class RouteTable {
  public:
   explicit RouteTable(GatewaySettings settings);
@@ -25,14 +25,14 @@
 
   const GatewaySettings& settings() const { return settings_; }
   /// \param host as the caller sent it, with or without a port.
-  /// \param target the request target; its query plays no part.
-  /// \returns null if no route fits.
+  /// \param target the request target; its query is ignored.
+  /// \returns null if no route matches.
   const Route* find(std::string_view host, std::string_view target) const;
-  /// \returns null if nobody holds \p key.
+  /// \returns null if \p key is unknown.
   const GatewayOrganisation* organisationOf(std::string_view key) const;
-  /// \returns null if there is none of that name.
+  /// \returns null if there is no service of that name.
   const GatewayService* service(const ServiceName& name) const;
-  /// \brief The service for a request: the same for the same \p requestId.
+  /// \brief Weighted choice of a service, deterministic in \p requestId.
   static const ServiceName& pickTarget(const Route& route, std::string_view requestId);
 
  private:
--- a/Hallchute/src/Gateway/UpstreamLoad.h
+++ b/Hallchute/src/Gateway/UpstreamLoad.h
@@ -11,11 +11,11 @@
 
 namespace Hallchute {
 
-/// \brief What an upstream has to do for one daemon or several. \ingroup Gateway
+/// \brief Outstanding work of an upstream for one or more daemons. \ingroup Gateway
 struct UpstreamLoad {
-  /// Requests under way.
+  /// Requests in flight.
   std::uint32_t requests = 0;
-  /// Prompt tokens of those whose answer has not begun: a later request waits until they are read.
+  /// Prompt tokens of requests whose response has not started; later requests queue behind them.
   std::uint64_t unreadTokens = 0;
 
   UpstreamLoad& operator+=(const UpstreamLoad& more) {
--- a/Hallchute/src/Gateway/UpstreamPick.cpp
+++ b/Hallchute/src/Gateway/UpstreamPick.cpp
@@ -15,90 +15,95 @@
 namespace Hallchute {
 namespace {
 
-/// An upstream that left the directory is a last resort for this long: entries lapse while the
-/// directory is away, and one that really left serves on for about two seconds.
-constexpr Millis kUseAfterGone{1'500};
-/// A home is left for the next one above this multiple of the mean load, and this much on top.
+/// Time for which an unlisted upstream is used as a last resort: entries expire while the directory
+/// is unavailable, and an upstream that is shutting down serves for about two more seconds.
+constexpr Millis kUsableAfterUnlisted{1'500};
+/// Bounded load: upstreams above this multiple of the mean load, plus this slack in requests, are
+/// skipped in rendezvous order.
 constexpr double kLoadBound = 1.5;
 constexpr double kLoadSlack = 6;
-/// How much a token that would be read again counts against one that is waited for: it holds up
-/// what comes after it at the other upstream, and its room there. Of the worth that callers asked
-/// for, 0.906 was served with it and 0.894 with a count of requests alone (paired plays of six days
-/// on four seeds).
-constexpr double kReadAgainCost = 4;
-/// Tokens by which a home must be behind at least: what an engine reads in ten to sixty
-/// milliseconds, less than the age of what others tell.
-constexpr double kReadSlack = 2'000;
-/// Upstreams that a subject may go to, the first ones in its own order: when homes are behind,
-/// their subjects turn to different upstreams by the same old word, and come back to where they
-/// were read. A burst of prompts before 40 engines and 295 daemons (virtual time): first event by
-/// the 95th of 100 after 1,459 ms and 18% of the tokens read again where every upstream was open to
-/// all; 885 ms and 10% with two, 985 ms and 13% with three.
-constexpr std::size_t kHomes = 2;
-/// What an upstream of another failure domain counts above its load, in parts of its slots: the
-/// way there costs a few milliseconds and the bytes are paid for.
-constexpr double kForeignCost = 0.15;
-/// Where this daemon placed this part of the load or more itself, and so knows it exactly, the
-/// least loaded upstream is the best choice.
-constexpr double kMostlyOwn = 0.5;
-/// The least room that an upstream counts with, in parts of its slots: its load may be old news,
-/// and one that nobody turns to is empty before the others hear of it. With 0.03 the slow upstream
-/// of the replay was overrun and left by turns (0.5% of requests rejected), with 0.2 it was not.
-constexpr double kLeastRoom = 0.2;
-
-/// A new upstream's cache fills as its subjects come by: for this long it may copy what it lacks.
-constexpr Millis kFillTime{15'000};
-
-enum class Tier { sound, shunned, gone, unfit };
-
-Tier tierOf(const UpstreamTable& table, const UpstreamEntry& entry, const UpstreamWish& wish,
+/// Cost of a recomputed token relative to a token in the prefill backlog: it also delays later
+/// requests at the other upstream and occupies its cache. In paired replays of six days on four
+/// seeds, 0.906 of the requested value was served with this cost and 0.894 with request counts
+/// alone.
+constexpr double kRecomputeCost = 4;
+/// Minimum difference in prefill backlog before another upstream is chosen: what an engine
+/// processes in 10 to 60 ms, less than the age of load reports.
+constexpr double kRecomputeSlackTokens = 2'000;
+/// Upstreams considered for an affinity key, in its rendezvous order. With a backlog at the first
+/// choices, daemons act on the same outdated load reports; a small number spreads keys over
+/// different upstreams and returns them to where their prefix is cached. In a virtual-time burst of
+/// prompts at 40 engines and 295 daemons, the 95th percentile time to the first event was 1,459 ms
+/// with 18% of the tokens recomputed without this limit, 885 ms and 10% with two, 985 ms and 13%
+/// with three.
+constexpr std::size_t kAffinityCandidates = 2;
+/// Cost of an upstream in another failure domain, added to its load as a fraction of its slots:
+/// cross-domain traffic adds a few milliseconds of latency and is billed.
+constexpr double kRemoteDomainCost = 0.15;
+/// From this fraction of the load on, this daemon placed the load itself and knows it exactly, so
+/// that the least loaded upstream is the best choice.
+constexpr double kOwnLoadMajority = 0.5;
+/// Minimum assumed free fraction of an upstream's slots: load reports are delayed, and an upstream
+/// that all daemons avoid becomes idle before they learn of it. With 0.03 the load on the slow
+/// upstream of the replay oscillated and 0.5% of requests were rejected; with 0.2 it did not.
+constexpr double kMinFreeFraction = 0.2;
+
+/// Time for which a newly listed upstream may copy prefixes from others, until requests have filled
+/// its cache.
+constexpr Millis kCacheFillTime{15'000};
+
+enum class Tier { healthy, ejected, unlisted, ineligible };
+
+Tier tierOf(const UpstreamTable& table, const UpstreamEntry& entry, const UpstreamWish& criteria,
             Instant now) {
-  if (entry.record.service != wish.service) return Tier::unfit;
-  if (entry.record.state == UpstreamState::draining) return Tier::unfit;
-  if (wish.tried.contains(entry.record.id)) return Tier::unfit;
+  if (entry.record.service != criteria.service) return Tier::ineligible;
+  if (entry.record.state == UpstreamState::draining) return Tier::ineligible;
+  if (criteria.tried.contains(entry.record.id)) return Tier::ineligible;
   if (entry.goneSince) {
-    return now - *entry.goneSince <= kUseAfterGone ? Tier::gone : Tier::unfit;
+    return now - *entry.goneSince <= kUsableAfterUnlisted ? Tier::unlisted : Tier::ineligible;
   }
-  const bool shunned =
+  const bool ejected =
       now < entry.shunnedUntil || table.domainUnreachable(entry.record.domain, now);
-  return shunned ? Tier::shunned : Tier::sound;
+  return ejected ? Tier::ejected : Tier::healthy;
 }
 
-/// A number in [0, 1) that differs by upstream and key.
-double draw(const UpstreamEntry& entry, const std::string& key) {
+/// Hash of upstream and key, in [0, 1).
+double hashScore(const UpstreamEntry& entry, const std::string& key) {
   return hashFraction(entry.record.id.str(), stableHash(key));
 }
 
-/// An upstream that is not too busy, and its rank for a subject.
+/// An upstream below the load bound and its rendezvous score for an affinity key.
 struct Candidate {
   const UpstreamEntry* entry = nullptr;
-  double drawn = -1;
+  double score = -1;
 };
 
-/// The first upstreams in a subject's own order, home first.
-using Homes = std::array<Candidate, kHomes>;
+/// The upstreams with the highest scores for an affinity key, highest first.
+using AffinityCandidates = std::array<Candidate, kAffinityCandidates>;
 
-void insertByRank(Homes& homes, Candidate candidate) {
-  for (Candidate& home : homes) {
-    if (candidate.drawn > home.drawn) std::swap(home, candidate);
+void insertByRank(AffinityCandidates& candidates, Candidate candidate) {
+  for (Candidate& ranked : candidates) {
+    if (candidate.score > ranked.score) std::swap(ranked, candidate);
   }
 }
 
-const UpstreamEntry* pickHome(std::span<const UpstreamEntry* const> entries,
-                              const UpstreamWish& wish) {
+const UpstreamEntry* pickByAffinity(std::span<const UpstreamEntry* const> entries,
+                                    const UpstreamWish& criteria) {
   double total = 0;
   for (const UpstreamEntry* entry : entries) total += entry->load();
   const double bound = kLoadBound * total / static_cast<double>(entries.size()) + kLoadSlack;
-  Homes homes;
+  AffinityCandidates candidates;
   for (const UpstreamEntry* entry : entries) {
-    if (entry->load() <= bound) insertByRank(homes, {entry, draw(*entry, wish.affinity)});
+    if (entry->load() <= bound)
+      insertByRank(candidates, {entry, hashScore(*entry, criteria.affinity)});
   }
-  const UpstreamEntry* best = homes.front().entry;
-  const double reading = kReadAgainCost * static_cast<double>(wish.sharedTokens) + kReadSlack;
+  const UpstreamEntry* best = candidates.front().entry;
+  const double recomputeCost =
+      kRecomputeCost * static_cast<double>(criteria.sharedTokens) + kRecomputeSlackTokens;
   double bestCost = static_cast<double>(best->unreadTokens());
-  for (const Candidate& candidate : homes) {
-    if (candidate.entry == nullptr || candidate.entry == homes.front().entry) continue;
-    const double cost = static_cast<double>(candidate.entry->unreadTokens()) + reading;
+  for (const Candidate& candidate : candidates) {
+    if (candidate.entry == nullptr || candidate.entry == candidates.front().entry) continue;
+    const double cost = static_cast<double>(candidate.entry->unreadTokens()) + recomputeCost;
     if (cost >= bestCost) continue;
     best = candidate.entry;
     bestCost = cost;
@@ -110,13 +115,13 @@
   return std::max<std::uint32_t>(1, entry.record.slots);
 }
 
-/// What of an upstream is taken, in parts of its slots, with what its distance counts.
-double taken(const UpstreamEntry& entry, const UpstreamWish& wish, double requests) {
-  const double foreign = entry.record.domain == wish.ownDomain ? 0 : kForeignCost;
-  return requests / slotsOf(entry) + foreign;
+/// Occupied fraction of an upstream's slots, plus the cost of another failure domain.
+double occupancy(const UpstreamEntry& entry, const UpstreamWish& criteria, double requests) {
+  const double remoteCost = entry.record.domain == criteria.ownDomain ? 0 : kRemoteDomainCost;
+  return requests / slotsOf(entry) + remoteCost;
 }
 
-/// The first of the entries for which \p cost is least; \p entries is not empty.
+/// The first entry of minimal \p cost; \p entries is not empty.
 template <typename Cost>
 const UpstreamEntry* cheapest(std::span<const UpstreamEntry* const> entries, Cost cost) {
   const UpstreamEntry* best = entries.front();
@@ -131,71 +136,76 @@
 }
 
 const UpstreamEntry* pickLeastLoaded(std::span<const UpstreamEntry* const> entries,
-                                     const UpstreamWish& wish) {
+                                     const UpstreamWish& criteria) {
   return cheapest(entries, [&](const UpstreamEntry& entry) {
-    // The draw only breaks ties: it is worth less than one request.
-    return taken(entry, wish, entry.load() + draw(entry, wish.requestId));
+    // The hash score is less than one request, so it only breaks ties.
+    return occupancy(entry, criteria, entry.load() + hashScore(entry, criteria.requestId));
   });
 }
 
-/// A draw in which each upstream's chance is its free room. What others placed is old news: daemons
-/// that all turned to the least loaded upstream would overrun it until the next word. 295 daemons
-/// before five upstreams of six slots, half of them taken (virtual time): 0.4% of requests rejected
-/// and 168 ms waited by the 95th of 100 with the least loaded one, none and 16 ms with draws; with
-/// one upstream at a third of its speed 1.2% and 355 ms, none and 66 ms.
-const UpstreamEntry* pickByRoom(std::span<const UpstreamEntry* const> entries,
-                                const UpstreamWish& wish) {
+/// Random choice weighted by free slots. Load reports from peers are delayed, so daemons that all
+/// chose the least loaded upstream would overload it until the next report. In virtual time with
+/// 295 daemons and five upstreams of six slots, half of them occupied, the least loaded choice
+/// rejected 0.4% of requests with a 95th percentile wait of 168 ms, the weighted choice none with
+/// 16 ms; with one upstream at a third of its speed, 1.2% and 355 ms against none and 66 ms.
+const UpstreamEntry* pickByFreeSlots(std::span<const UpstreamEntry* const> entries,
+                                     const UpstreamWish& criteria) {
   return cheapest(entries, [&](const UpstreamEntry& entry) {
-    const double room = std::max(kLeastRoom, 1 - taken(entry, wish, entry.load()));
-    // The first of several exponential clocks: each wins in proportion to its rate.
-    return -std::log1p(-draw(entry, wish.requestId)) / (room * slotsOf(entry));
+    const double freeFraction =
+        std::max(kMinFreeFraction, 1 - occupancy(entry, criteria, entry.load()));
+    // The minimum of exponential variables selects each entry with probability proportional to its
+    // rate.
+    return -std::log1p(-hashScore(entry, criteria.requestId)) / (freeFraction * slotsOf(entry));
   });
 }
 
-const UpstreamEntry* pickFree(std::span<const UpstreamEntry* const> entries,
-                              const UpstreamWish& wish) {
+const UpstreamEntry* pickByLoad(std::span<const UpstreamEntry* const> entries,
+                                const UpstreamWish& criteria) {
   double own = 0;
   double all = 0;
   for (const UpstreamEntry* entry : entries) {
     own += entry->own.requests;
     all += entry->load();
   }
-  return own >= kMostlyOwn * all ? pickLeastLoaded(entries, wish) : pickByRoom(entries, wish);
+  return own >= kOwnLoadMajority * all ? pickLeastLoaded(entries, criteria)
+                                       : pickByFreeSlots(entries, criteria);
 }
 
 }  // namespace
 
-const UpstreamEntry* pickUpstream(const UpstreamTable& table, const UpstreamWish& wish,
+const UpstreamEntry* pickUpstream(const UpstreamTable& table, const UpstreamWish& criteria,
                                   Instant now) {
-  std::vector<const UpstreamEntry*> fit;
-  Tier best = Tier::unfit;
+  std::vector<const UpstreamEntry*> eligible;
+  Tier best = Tier::ineligible;
   for (const auto& [id, entry] : table.entries()) {
-    const Tier tier = tierOf(table, entry, wish, now);
-    if (tier == Tier::unfit || tier > best) continue;
-    if (tier < best) fit.clear();
+    const Tier tier = tierOf(table, entry, criteria, now);
+    if (tier == Tier::ineligible || tier > best) continue;
+    if (tier < best) eligible.clear();
     best = tier;
-    fit.push_back(&entry);
+    eligible.push_back(&entry);
   }
-  if (fit.empty()) return nullptr;
-  return wish.affinity.empty() ? pickFree(fit, wish) : pickHome(fit, wish);
+  if (eligible.empty()) return nullptr;
+  return criteria.affinity.empty() ? pickByLoad(eligible, criteria)
+                                   : pickByAffinity(eligible, criteria);
 }
 
-const UpstreamEntry* cacheSource(const UpstreamTable& table, const UpstreamWish& wish,
+const UpstreamEntry* cacheSource(const UpstreamTable& table, const UpstreamWish& criteria,
                                  const UpstreamEntry& chosen, Instant now) {
-  const bool fresh = now - chosen.knownSince < kFillTime;
-  const double chosenDraw = draw(chosen, wish.affinity);
+  const bool recentlyListed = now - chosen.knownSince < kCacheFillTime;
+  const double chosenScore = hashScore(chosen, criteria.affinity);
   const UpstreamEntry* best = nullptr;
-  double bestDraw = -1;
+  double bestScore = -1;
   for (const auto& [id, entry] : table.entries()) {
-    if (id == chosen.record.id || entry.record.service != wish.service) continue;
-    // One that is leaving still gives its cache away.
+    if (id == chosen.record.id || entry.record.service != criteria.service) continue;
+    // A draining upstream still serves cache exports.
     if (entry.goneSince || now < entry.shunnedUntil) continue;
     if (table.domainUnreachable(entry.record.domain, now)) continue;
-    const double drawn = draw(entry, wish.affinity);
-    const bool wasHome = fresh ? entry.knownSince < chosen.knownSince : drawn > chosenDraw;
-    if (!wasHome || drawn <= bestDraw) continue;
+    const double score = hashScore(entry, criteria.affinity);
+    const bool rankedBefore =
+        recentlyListed ? entry.knownSince < chosen.knownSince : score > chosenScore;
+    if (!rankedBefore || score <= bestScore) continue;
     best = &entry;
-    bestDraw = drawn;
+    bestScore = score;
   }
   return best;
 }
--- a/Hallchute/src/Gateway/UpstreamPick.h
+++ b/Hallchute/src/Gateway/UpstreamPick.h
@@ -12,35 +12,37 @@
 
 namespace Hallchute {
 
-/// \brief What a request wants of its upstream. \ingroup Gateway
+/// \brief Selection criteria for the upstream of a request. \ingroup Gateway
 struct UpstreamWish {
   ServiceName service;
-  /// Requests with the same one share prompt parts; empty where nothing is shared.
+  /// Requests with equal affinity keys share prompt prefixes; empty if nothing is shared.
   std::string affinity;
-  /// Tokens of those parts: an upstream that doesn't keep them reads them again.
+  /// Tokens of the shared prefix: an upstream that hasn't cached them recomputes them.
   std::uint64_t sharedTokens = 0;
-  /// Where it was before.
+  /// Upstreams that were tried before.
   std::set<UpstreamId> tried;
   DomainName ownDomain;
-  /// Breaks ties, so that daemons don't all choose the same one.
+  /// Breaks ties, so that daemons don't all choose the same upstream.
   std::string requestId;
 };
 
-/// \brief The upstream for a request; null if there is none. \ingroup Gateway
+/// \brief Selects the upstream for a request; null if none is eligible. \ingroup Gateway
 ///
-/// With an affinity: the first by rendezvous whose load is not far above the mean, so that a
-/// subject has one home in the fleet and a busy one a second; the next one if far less is to be
-/// read there first than at home. Without: the least loaded while this daemon placed most of the
-/// load itself, else a draw by free room; with a preference for the own failure domain. Upstreams
-/// that are shunned, or that the directory no longer lists, serve only if no other is left, the
-/// latter for a short while. Cost: one pass and one hash an upstream.
-const UpstreamEntry* pickUpstream(const UpstreamTable& table, const UpstreamWish& wish,
+/// With an affinity key: the first upstream by rendezvous hashing with bounded load, so that all
+/// daemons map a key to the same upstream, and to the same second one if that is overloaded; or the
+/// next in rendezvous order if its prefill backlog is much shorter. Without: the least loaded
+/// upstream if this daemon placed most of the load itself, otherwise a random choice weighted by
+/// free slots; both prefer the own failure domain. Ejected and unlisted upstreams are used only if
+/// no others are left, unlisted ones for a short time only. Cost: one pass and one hash per
+/// upstream.
+const UpstreamEntry* pickUpstream(const UpstreamTable& table, const UpstreamWish& criteria,
                                   Instant now);
 
-/// \brief The upstream that is likely to keep the prompt parts which \p chosen lacks: the subject's
-/// home before, if it is leaving, busy, or was the home until \p chosen came; null if \p chosen is
-/// likely to keep them itself. Cost: one pass and one hash an upstream.
-const UpstreamEntry* cacheSource(const UpstreamTable& table, const UpstreamWish& wish,
+/// \brief Selects the upstream that has probably cached the prompt prefix which \p chosen lacks:
+/// the previous first choice for the affinity key, if it is draining or overloaded or was
+/// superseded when \p chosen was listed; null if \p chosen has probably cached the prefix itself.
+/// Cost: one pass and one hash per upstream.
+const UpstreamEntry* cacheSource(const UpstreamTable& table, const UpstreamWish& criteria,
                                  const UpstreamEntry& chosen, Instant now);
 
 }  // namespace Hallchute
--- a/Hallchute/src/Gateway/UpstreamRecord.h
+++ b/Hallchute/src/Gateway/UpstreamRecord.h
@@ -13,13 +13,13 @@
 
 namespace Hallchute {
 
-/// \brief Whether an upstream takes new work. \ingroup Gateway
+/// \brief Whether an upstream accepts new requests. \ingroup Gateway
 enum class UpstreamState { ready, draining };
 
-/// \brief One process of an upstream. \ingroup Gateway
+/// \brief Identifies one process of an upstream. \ingroup Gateway
 struct UpstreamIncarnation {
   UpstreamIncarnation() = default;
-  // NOLINTNEXTLINE(google-explicit-constructor): an upstream that doesn't tell its start.
+  // NOLINTNEXTLINE(google-explicit-constructor): an upstream that doesn't report its start time.
   UpstreamIncarnation(UpstreamId upstream, std::uint64_t start = 0)
       : id(std::move(upstream)), incarnation(start) {}
   UpstreamId id;
@@ -28,23 +28,23 @@
   bool operator==(const UpstreamIncarnation&) const = default;
 };
 
-/// \brief An upstream as the platform's directory tells of it. \ingroup Gateway
+/// \brief An upstream's entry in the platform's directory. \ingroup Gateway
 struct UpstreamRecord {
-  /// A restarted upstream may keep it.
+  /// May stay the same after a restart.
   UpstreamId id;
   ServiceName service;
   /// `ip:port`.
   std::string address;
   DomainName domain;
-  /// Requests it works on at once.
+  /// Maximum number of requests processed concurrently.
   std::uint32_t slots = 1;
   UpstreamState state = UpstreamState::ready;
-  /// It was ordered as one that the platform may take away.
+  /// Runs on capacity that the platform may reclaim.
   bool reclaimable = false;
-  /// How much longer it is slow from its start.
+  /// Remaining warm-up time, during which it is slow.
   Millis coldFor{0};
-  /// When it started, in ms since 1970; 0 if it doesn't tell. With another one it is a new process
-  /// that holds and knows nothing of the one before.
+  /// Start time in ms since the Unix epoch; 0 if not reported. A different value denotes a new
+  /// process, which shares no state with the previous one.
   std::uint64_t incarnation = 0;
   bool operator==(const UpstreamRecord&) const = default;
 };
--- a/Hallchute/src/Gateway/UpstreamTable.cpp
+++ b/Hallchute/src/Gateway/UpstreamTable.cpp
@@ -9,21 +9,21 @@
 namespace Hallchute {
 namespace {
 
-/// A first failure is often chance; a second in a row shuns the upstream.
-constexpr std::uint32_t kFailuresToShun = 2;
-/// The first time away from an upstream; it doubles with each further failure.
-constexpr Millis kFirstShun{400};
-constexpr Millis kLongestShun{3'200};
-/// How long a refused connection keeps work away: the process is likely to be restarting.
-constexpr Millis kUnreachableShun{600};
-/// Two different upstreams of a domain out of reach within this time: the domain is cut off.
-constexpr Millis kSameCut{1'000};
-/// How long a domain that is cut off is passed over before one request tries it again.
-constexpr Millis kDomainShun{600};
-/// A full upstream gets a short rest.
-constexpr Millis kRejectedShun{50};
-/// How long an upstream that left the directory is remembered.
-constexpr Millis kForgetAfter{10'000};
+/// Consecutive failures before an upstream is ejected: a single failure is often transient.
+constexpr std::uint32_t kFailuresToEject = 2;
+/// Duration of the first ejection; it doubles with each further failure.
+constexpr Millis kBaseEjection{400};
+constexpr Millis kMaxEjection{3'200};
+/// Ejection after a failed connection attempt: the process is probably restarting.
+constexpr Millis kUnreachableEjection{600};
+/// A domain counts as unreachable if two of its upstreams are unreachable within this time.
+constexpr Millis kDomainOutageWindow{1'000};
+/// Time for which an unreachable domain is skipped before it is tried again.
+constexpr Millis kDomainEjection{600};
+/// Ejection after a rejected request, as the upstream is full or shutting down.
+constexpr Millis kRejectedEjection{50};
+/// Time for which an upstream is kept after the directory stopped listing it.
+constexpr Millis kUnlistedRetention{10'000};
 
 }  // namespace
 
@@ -50,8 +50,8 @@
 std::vector<UpstreamId> UpstreamTable::replace(std::span<const UpstreamRecord> records,
                                                Instant now) {
   std::set<UpstreamId> listed;
-  std::vector<UpstreamId> gone;
-  const bool first = entries_.empty();
+  std::vector<UpstreamId> removed;
+  const bool initial = entries_.empty();
   for (const UpstreamRecord& record : records) {
     listed.insert(record.id);
     UpstreamEntry& entry = entries_[record.id];
@@ -59,36 +59,37 @@
     const std::uint64_t before = entry.record.incarnation;
     const bool restarted = known && record.incarnation > 0 && record.incarnation != before;
     if (restarted) {
-      gone.push_back(record.id);
+      removed.push_back(record.id);
       UpstreamEntry fresh;
       fresh.leaving = entry.leaving;
       entry = std::move(fresh);
     }
-    if ((!known && !first) || restarted) entry.knownSince = now;
+    if ((!known && !initial) || restarted) entry.knownSince = now;
     entry.record = record;
     if (!restarted && record.incarnation == 0) entry.record.incarnation = before;
     entry.goneSince.reset();
-    // One that once said that it leaves doesn't come back as the same process.
-    const bool left = entry.leaving == entry.record.incarnation;
-    if (left) entry.record.state = UpstreamState::draining;
+    // A draining process never becomes ready again; only a new incarnation does.
+    const bool alreadyDraining = entry.leaving == entry.record.incarnation;
+    if (alreadyDraining) entry.record.state = UpstreamState::draining;
     if (entry.record.state == UpstreamState::draining) entry.leaving = entry.record.incarnation;
   }
   for (auto& [id, entry] : entries_) {
     if (listed.contains(id) || entry.goneSince) continue;
     entry.goneSince = now;
-    gone.push_back(id);
+    removed.push_back(id);
   }
-  return gone;
+  return removed;
 }
 
 void UpstreamTable::noteDraining(const UpstreamId& upstream, std::uint64_t incarnation) {
   const auto it = entries_.find(upstream);
   if (it == entries_.end()) return;
   UpstreamEntry& entry = it->second;
-  const std::uint64_t present = entry.record.incarnation;
-  // A late word on the process before; one of a later process means that this one has ended.
-  if (incarnation > 0 && incarnation < present) return;
-  entry.leaving = incarnation > 0 ? incarnation : present;
+  const std::uint64_t current = entry.record.incarnation;
+  // Ignores a late report about an earlier process. A report about a later one implies that the
+  // current process has ended.
+  if (incarnation > 0 && incarnation < current) return;
+  entry.leaving = incarnation > 0 ? incarnation : current;
   entry.record.state = UpstreamState::draining;
 }
 
@@ -96,8 +97,8 @@
                                               std::optional<std::uint64_t> incarnation) {
   const auto it = entries_.find(upstream);
   if (it == entries_.end()) return nullptr;
-  const bool present = !incarnation || *incarnation == it->second.record.incarnation;
-  return present ? &it->second : nullptr;
+  const bool current = !incarnation || *incarnation == it->second.record.incarnation;
+  return current ? &it->second : nullptr;
 }
 
 void UpstreamTable::noteDispatched(const UpstreamId& upstream, std::uint64_t promptTokens) {
@@ -115,12 +116,13 @@
 
 void UpstreamTable::noteFailure(UpstreamEntry& entry, Instant now) {
   ++entry.failuresInARow;
-  if (entry.failuresInARow < kFailuresToShun) return;
-  Millis shun = kFirstShun;
-  for (std::uint32_t i = kFailuresToShun; i < entry.failuresInARow && shun < kLongestShun; ++i) {
-    shun *= 2;
+  if (entry.failuresInARow < kFailuresToEject) return;
+  Millis ejection = kBaseEjection;
+  for (std::uint32_t i = kFailuresToEject; i < entry.failuresInARow && ejection < kMaxEjection;
+       ++i) {
+    ejection *= 2;
   }
-  entry.shunnedUntil = now + std::min(shun, kLongestShun);
+  entry.shunnedUntil = now + std::min(ejection, kMaxEjection);
 }
 
 void UpstreamTable::noteEnded(const UpstreamId& upstream, DispatchResult result, Instant now,
@@ -131,15 +133,15 @@
   if (entry.own.requests > 0) --entry.own.requests;
   switch (result) {
     case DispatchResult::answered:
-      troubles_.erase(entry.record.domain);
+      outages_.erase(entry.record.domain);
       entry.failuresInARow = 0;
       entry.shunnedUntil = {};
       return;
     case DispatchResult::rejected:
-      entry.shunnedUntil = std::max(entry.shunnedUntil, now + kRejectedShun);
+      entry.shunnedUntil = std::max(entry.shunnedUntil, now + kRejectedEjection);
       return;
     case DispatchResult::unreachable:
-      entry.shunnedUntil = std::max(entry.shunnedUntil, now + kUnreachableShun);
+      entry.shunnedUntil = std::max(entry.shunnedUntil, now + kUnreachableEjection);
       noteFailure(entry, now);
       noteUnreachable(entry, now);
       return;
@@ -154,21 +156,22 @@
 }
 
 void UpstreamTable::noteUnreachable(const UpstreamEntry& entry, Instant now) {
-  DomainTrouble& trouble = troubles_[entry.record.domain];
-  const bool another = !trouble.last.empty() && trouble.last != entry.record.id;
-  if (another && now - trouble.at <= kSameCut) trouble.until = now + kDomainShun;
-  trouble.last = entry.record.id;
-  trouble.at = now;
+  DomainOutage& outage = outages_[entry.record.domain];
+  const bool different = !outage.last.empty() && outage.last != entry.record.id;
+  if (different && now - outage.at <= kDomainOutageWindow) outage.until = now + kDomainEjection;
+  outage.last = entry.record.id;
+  outage.at = now;
 }
 
 bool UpstreamTable::domainUnreachable(const DomainName& domain, Instant now) const {
-  const auto it = troubles_.find(domain);
-  return it != troubles_.end() && now < it->second.until;
+  const auto it = outages_.find(domain);
+  return it != outages_.end() && now < it->second.until;
 }
 
 void UpstreamTable::noteReplaced(const UpstreamId& upstream, Instant now) {
   const auto it = entries_.find(upstream);
-  if (it != entries_.end() && !it->second.goneSince) it->second.goneSince = now - kForgetAfter;
+  if (it != entries_.end() && !it->second.goneSince)
+    it->second.goneSince = now - kUnlistedRetention;
 }
 
 void UpstreamTable::setLoadsElsewhere(const UpstreamLoads& loads) {
@@ -181,7 +184,8 @@
 void UpstreamTable::sweep(Instant now) {
   std::erase_if(entries_, [&](const auto& item) {
     const UpstreamEntry& entry = item.second;
-    return entry.goneSince && entry.own.requests == 0 && now - *entry.goneSince > kForgetAfter;
+    return entry.goneSince && entry.own.requests == 0 &&
+           now - *entry.goneSince > kUnlistedRetention;
   });
 }
 
--- a/Hallchute/src/Gateway/UpstreamTable.h
+++ b/Hallchute/src/Gateway/UpstreamTable.h
@@ -16,96 +16,97 @@
 
 namespace Hallchute {
 
-/// \brief How a dispatch to an upstream went. \ingroup Gateway
+/// \brief Outcome of a dispatch to an upstream. \ingroup Gateway
 enum class DispatchResult {
-  /// An answer came, be it a failure of the request's own.
+  /// A response was received, possibly an error caused by the request itself.
   answered,
-  /// Full, or on its way out.
+  /// The upstream is full or shutting down.
   rejected,
-  /// The connection didn't come up.
+  /// The connection could not be established.
   unreachable,
-  /// The connection ended or its bytes were faulty after the request was sent.
+  /// The connection was closed or the response was malformed after the request was sent.
   broken,
-  /// No sign of work for longer than there should be.
+  /// No response data within the expected time.
   silent,
-  /// The upstream itself answered that it failed.
+  /// The upstream responded with a server error.
   failed,
-  /// The caller left or its time was up: says nothing of the upstream.
+  /// The caller disconnected or its deadline passed; not attributable to the upstream.
   abandoned,
 };
 
-/// \brief A result's name for the log. \ingroup Gateway
+/// \brief The name of a result in logs. \ingroup Gateway
 std::string_view describe(DispatchResult result);
 
-/// \brief What this daemon knows of an upstream. \ingroup Gateway
+/// \brief An upstream's record, health and load as seen by this daemon. \ingroup Gateway
 struct UpstreamEntry {
   UpstreamRecord record;
-  /// When the directory first listed it; the start of this daemon for those that were there.
+  /// When the directory first listed this process; default if it was in the first listing.
   Instant knownSince{};
-  /// Set when the directory stopped listing it.
+  /// When the directory stopped listing it.
   std::optional<Instant> goneSince;
-  /// No work goes there until then, unless there is nobody else.
+  /// Gets no requests until then unless no other upstream is available.
   Instant shunnedUntil{};
   std::uint32_t failuresInARow = 0;
-  /// The last incarnation that is known to take no new work, by the directory or a peer.
+  /// The last incarnation that the directory or a peer reported as draining.
   std::optional<std::uint64_t> leaving;
-  /// What it has to do for this daemon.
+  /// Load from this daemon.
   UpstreamLoad own;
-  /// For the others, as last heard.
+  /// Load from the other daemons, as last reported.
   UpstreamLoad elsewhere;
 
   std::uint32_t load() const { return own.requests + elsewhere.requests; }
   std::uint64_t unreadTokens() const { return own.unreadTokens + elsewhere.unreadTokens; }
 };
 
-/// \brief The upstreams with their state, load and recent failures. One thread; no I/O, no clock.
+/// \brief The upstreams with their state, load and recent failures. Not thread-safe; no I/O, no
+/// clock.
 /// \ingroup Gateway
 class UpstreamTable {
  public:
-  /// \brief Takes the whole directory.
-  /// \returns the upstreams that it no longer lists, and those that started anew under their name:
-  /// nothing that was known of the process before holds for the new one.
+  /// \brief Replaces the records by a complete listing of the directory.
+  /// \returns the upstreams that are no longer listed, and those that restarted under the same id:
+  /// state kept for the previous process does not apply to the new one.
   std::vector<UpstreamId> replace(std::span<const UpstreamRecord> records, Instant now);
-  /// \brief Another daemon learned that an upstream takes no new work.
-  /// \param incarnation of which it is true; 0 if it doesn't tell its start.
+  /// \brief Records a peer's report that an upstream accepts no new requests.
+  /// \param incarnation the process that is draining; 0 if its start time is not reported.
   void noteDraining(const UpstreamId& upstream, std::uint64_t incarnation = 0);
-  /// \param promptTokens what the upstream reads before it answers; 0 if unknown.
+  /// \param promptTokens tokens that the upstream processes before it responds; 0 if unknown.
   void noteDispatched(const UpstreamId& upstream, std::uint64_t promptTokens = 0);
-  /// \brief A prompt was read, or is not going to be.
-  /// \param incarnation to which the request was sent; the present one if left out.
+  /// \brief Records that a prompt has been processed, or will not be.
+  /// \param incarnation the process the request was sent to; the current one if omitted.
   void notePromptDone(const UpstreamId& upstream, std::uint64_t promptTokens,
                       std::optional<std::uint64_t> incarnation = {});
   /// \param incarnation as above.
   void noteEnded(const UpstreamId& upstream, DispatchResult result, Instant now,
                  std::optional<std::uint64_t> incarnation = {});
-  /// \brief The address belongs to another upstream now.
+  /// \brief Records that the upstream's address now belongs to another upstream.
   void noteReplaced(const UpstreamId& upstream, Instant now);
   void setLoadsElsewhere(const UpstreamLoads& loads);
-  /// \brief Forgets upstreams that are gone and have no work left.
+  /// \brief Removes upstreams that have been unlisted for some time and have no requests in flight.
   void sweep(Instant now);
 
-  /// \brief Whether a failure domain seems to be out of reach as a whole.
+  /// \brief Whether a failure domain appears to be unreachable as a whole.
   bool domainUnreachable(const DomainName& domain, Instant now) const;
   const std::map<UpstreamId, UpstreamEntry>& entries() const { return entries_; }
   const UpstreamEntry* find(const UpstreamId& upstream) const;
   UpstreamLoads ownLoads() const;
 
  private:
-  /// Which upstream of a domain couldn't be reached last, and until when all of them are shunned.
-  struct DomainTrouble {
+  /// The last unreachable upstream of a domain, and until when the whole domain is ejected.
+  struct DomainOutage {
     UpstreamId last;
     Instant at{};
     Instant until{};
   };
 
-  /// Null if it is not known, or runs as another incarnation now.
+  /// Null if the upstream is unknown or its current incarnation differs.
   UpstreamEntry* findIncarnation(const UpstreamId& upstream,
                                  std::optional<std::uint64_t> incarnation);
   void noteFailure(UpstreamEntry& entry, Instant now);
   void noteUnreachable(const UpstreamEntry& entry, Instant now);
 
   std::map<UpstreamId, UpstreamEntry> entries_;
-  std::map<DomainName, DomainTrouble> troubles_;
+  std::map<DomainName, DomainOutage> outages_;
 };
 
 }  // namespace Hallchute
--- a/Hallchute/src/Gateway/UsageLedger.h
+++ b/Hallchute/src/Gateway/UsageLedger.h
@@ -12,24 +12,24 @@
 
 namespace Hallchute {
 
-/// \brief Requests that began to run, by organisation. \ingroup Gateway
+/// \brief Number of requests that started to run, by organisation. \ingroup Gateway
 using UsageCounts = std::map<OrganisationName, std::uint64_t>;
 
-/// \brief Counts by window; window k begins k window lengths after the start of 1970.
+/// \brief Counts by window; window k starts k window lengths after the Unix epoch.
 /// \ingroup Gateway
 using UsageByWindow = std::map<std::int64_t, UsageCounts>;
 
-/// \brief What one daemon counted in each window of the wall clock. \ingroup Gateway
+/// \brief One daemon's request counts in wall-clock windows. \ingroup Gateway
 class UsageLedger {
  public:
   explicit UsageLedger(Millis window) : window_(window) {}
 
-  /// \param wallClock time since the start of 1970.
+  /// \param wallClock time since the Unix epoch.
   std::int64_t windowAt(Millis wallClock) const { return wallClock / window_; }
   void noteRun(const OrganisationName& organisation, Millis wallClock) {
     ++counts_[windowAt(wallClock)][organisation];
   }
-  /// \brief Drops windows before \p first.
+  /// \brief Discards windows before \p first.
   void forgetBefore(std::int64_t first) {
     counts_.erase(counts_.begin(), counts_.lower_bound(first));
   }
--- a/Hallchute/src/Relay/EventSplitter.cpp
+++ b/Hallchute/src/Relay/EventSplitter.cpp
@@ -15,11 +15,11 @@
 
 /// The length of the first event with its empty line; 0 if it is not whole yet.
 std::size_t eventLength(std::string_view text) {
-  const std::size_t plain = text.find("\n\n");
+  const std::size_t lf = text.find("\n\n");
   const std::size_t crlf = text.find("\r\n\r\n");
-  const std::size_t afterPlain = plain == std::string_view::npos ? text.size() + 1 : plain + 2;
+  const std::size_t afterLf = lf == std::string_view::npos ? text.size() + 1 : lf + 2;
   const std::size_t afterCrlf = crlf == std::string_view::npos ? text.size() + 1 : crlf + 4;
-  const std::size_t length = std::min(afterPlain, afterCrlf);
+  const std::size_t length = std::min(afterLf, afterCrlf);
   return length > text.size() ? 0 : length;
 }
 
--- a/Hallchute/src/Relay/RelayCourse.cpp
+++ b/Hallchute/src/Relay/RelayCourse.cpp
@@ -30,20 +30,20 @@
 }
 
 RelayAction RelayCourse::dispatchAgain() {
-  return RelayActions::Dispatch{arrivals_ > 0, started_};
+  return RelayActions::Dispatch{deliveries_ > 0, started_};
 }
 
 RelayCourse::Actions RelayCourse::giveUp(bool timeUp) {
   if (started_) return end({RelayActions::BreakOff{}});
-  if (spareAnswer_) return end({RelayActions::PassWhole{}});
+  if (hasFallbackResponse_) return end({RelayActions::PassWhole{}});
   if (mayHaveRun()) return end({RelayActions::Fail{timeUp}});
   return end({RelayActions::Refuse{}});
 }
 
 RelayCourse::Actions RelayCourse::afterRejection() {
   ++rejections_;
-  const bool mayGoOn = !started_ || terms_.resumable;
-  if (rejections_ >= kMaxRejections || !mayGoOn) return giveUp(false);
+  const bool mayContinue = !started_ || terms_.resumable;
+  if (rejections_ >= kMaxRejections || !mayContinue) return giveUp(false);
   return {dispatchAgain()};
 }
 
@@ -69,7 +69,7 @@
 
 RelayCourse::Actions RelayCourse::on(const RelayEvents::NotExecuted&) {
   if (phase_ != Phase::dispatched) return {};
-  ++arrivals_;
+  ++deliveries_;
   return afterRejection();
 }
 
@@ -85,15 +85,15 @@
     if (started_) return end({RelayActions::PassEnd{}});
     return end({RelayActions::PassWhole{}});
   }
-  ++arrivals_;
+  ++deliveries_;
   ++runs_;
-  spareAnswer_ = !started_;
+  hasFallbackResponse_ = !started_;
   return afterFailedRun();
 }
 
 RelayCourse::Actions RelayCourse::on(const RelayEvents::Broken&) {
   if (phase_ != Phase::dispatched) return {};
-  ++arrivals_;
+  ++deliveries_;
   ++runs_;
   return afterFailedRun();
 }
@@ -102,7 +102,7 @@
   if (phase_ != Phase::dispatched) return {};
   if (runs_ + 1 >= terms_.maxRuns) return {};
   if (!(started_ ? terms_.resumable : terms_.repeatable)) return {};
-  ++arrivals_;
+  ++deliveries_;
   ++runs_;
   return {RelayActions::Cancel{}, dispatchAgain()};
 }
--- a/Hallchute/src/Relay/RelayCourse.h
+++ b/Hallchute/src/Relay/RelayCourse.h
@@ -64,13 +64,13 @@
   Phase phase_ = Phase::waiting;
   bool started_ = false;
   /// A whole answer that says failure came; it is passed if no better one comes.
-  bool spareAnswer_ = false;
+  bool hasFallbackResponse_ = false;
   /// Dispatches that may have run.
   int runs_ = 0;
   /// Dispatches that did not.
   int rejections_ = 0;
   /// Dispatches that reached an upstream.
-  int arrivals_ = 0;
+  int deliveries_ = 0;
 };
 
 }  // namespace Hallchute
