--- a/Hallchute/src/Relay/EventSplitter.cpp
+++ b/Hallchute/src/Relay/EventSplitter.cpp
@@ -13,7 +13,7 @@
 
 constexpr std::string_view kIdField = "id:";
 
-/// The length of the first event with its empty line; 0 if it is not whole yet.
+/// Length of the first event with its blank line; 0 if it is incomplete.
 std::size_t eventLength(std::string_view text) {
   const std::size_t lf = text.find("\n\n");
   const std::size_t crlf = text.find("\r\n\r\n");
--- a/Hallchute/src/Relay/EventSplitter.h
+++ b/Hallchute/src/Relay/EventSplitter.h
@@ -10,23 +10,23 @@
 
 namespace Hallchute {
 
-/// \brief One whole event of a `text/event-stream` body, as its bytes came. \ingroup Relay
+/// \brief A complete event of a `text/event-stream` body, as received. \ingroup Relay
 struct StreamEvent {
   std::string bytes;
-  /// The event's id; empty if it has none.
+  /// Value of the id field; empty if there is none.
   std::string id;
 };
 
-/// \brief Cuts a `text/event-stream` body into whole events, byte for byte. \ingroup Relay
+/// \brief Splits a `text/event-stream` body into events without changing its bytes. \ingroup Relay
 ///
-/// An upstream may break off within an event: what is passed on are whole ones only, so that
-/// another run can go on after the last.
+/// An upstream may fail in the middle of an event. Only complete events are forwarded, so that
+/// another run can resume after the last one.
 class EventSplitter {
  public:
   void add(std::string_view bytes) { pending_.append(bytes); }
-  /// \brief The next whole event, up to and with its empty line.
+  /// \brief Extracts the next complete event, including the blank line that ends it.
   std::optional<StreamEvent> next();
-  /// \brief Bytes after the last whole event.
+  /// \brief The bytes after the last complete event.
   const std::string& rest() const { return pending_; }
 
  private:
--- a/Hallchute/src/Relay/RelayAction.h
+++ b/Hallchute/src/Relay/RelayAction.h
@@ -8,44 +8,44 @@
 
 namespace Hallchute {
 
-/// \brief What is to be done for a request under way; see RelayCourse. \ingroup Relay
+/// \brief Actions for a request in progress; see RelayStateMachine. \ingroup Relay
 namespace RelayActions {
 
-/// Choose an upstream and send the request there.
+/// Select an upstream and send the request to it.
 struct Dispatch {
-  /// An earlier dispatch arrived at an upstream: this one draws on the retry budget.
+  /// An earlier dispatch reached an upstream, so this one counts against the retry budget.
   bool repeat = false;
-  /// The stream goes on after the last event that was passed.
+  /// The stream resumes after the last forwarded event.
   bool resume = false;
   bool operator==(const Dispatch&) const = default;
 };
-/// End the exchange with the upstream, so that it stops working.
+/// Close the exchange with the upstream, so that it stops processing the request.
 struct Cancel {
   bool operator==(const Cancel&) const = default;
 };
-/// Pass the event, after the answer's head if it is the first.
+/// Forward the event, preceded by the response head if it is the first.
 struct PassPiece {
   bool first = false;
   bool operator==(const PassPiece&) const = default;
 };
-/// The stream is complete.
+/// End the response: the stream is complete.
 struct PassEnd {
   bool operator==(const PassEnd&) const = default;
 };
-/// Pass the whole answer that came last.
+/// Forward the last complete response.
 struct PassWhole {
   bool operator==(const PassWhole&) const = default;
 };
-/// Tell the caller that the request did not run and when to come back.
+/// Report to the caller that the request did not run, with a retry delay.
 struct Refuse {
   bool operator==(const Refuse&) const = default;
 };
-/// Tell the caller that the request may have run.
+/// Report to the caller that the request may have run.
 struct Fail {
   bool timeUp = false;
   bool operator==(const Fail&) const = default;
 };
-/// End a started stream so that it can't be taken for complete.
+/// Abort a started stream so that the caller can't mistake it for a complete one.
 struct BreakOff {
   bool operator==(const BreakOff&) const = default;
 };
--- a/Hallchute/src/Relay/RelayCourse.cpp
+++ b/Hallchute/src/Relay/RelayCourse.cpp
@@ -8,8 +8,8 @@
 namespace Hallchute {
 namespace {
 
-/// Upstreams that may reject a request or be out of reach before it is refused: with more, a
-/// caller waits longer for the refusal than a second try would take it.
+/// Upstreams that may reject a request or be unreachable before it is refused: with more, the
+/// caller waits longer for the refusal than a retry would take.
 constexpr int kMaxRejections = 3;
 
 }  // namespace
@@ -114,7 +114,7 @@
 
 RelayCourse::Actions RelayCourse::on(const RelayEvents::TimeUp&) {
   if (phase_ != Phase::dispatched) return giveUp(true);
-  // What was sent may be at work.
+  // The upstream may still be running the request.
   ++runs_;
   Actions actions{RelayActions::Cancel{}};
   for (const RelayAction& action : giveUp(true)) actions.push_back(action);
--- a/Hallchute/src/Relay/RelayCourse.h
+++ b/Hallchute/src/Relay/RelayCourse.h
@@ -11,30 +11,30 @@
 
 namespace Hallchute {
 
-/// \brief What a route allows for a request. \ingroup Relay
+/// \brief Limits of a route on running a request more than once. \ingroup Relay
 struct RelayTerms {
-  /// It may run more than once.
+  /// The request may run more than once.
   bool repeatable = false;
-  /// A broken stream may go on at another upstream.
+  /// An interrupted stream may be continued by another upstream.
   bool resumable = false;
-  /// Upstreams at which it may run.
+  /// Maximum number of upstreams that may run the request.
   int maxRuns = 1;
 };
 
-/// \brief The course of one request: events in, actions out. No I/O, no clock.
+/// \brief State machine of one request: consumes events, returns actions. No I/O, no clock.
 /// \ingroup Relay
 ///
-/// Keeps, whatever the order of events: what may not repeat is sent again only if no earlier
-/// dispatch can have run; a refusal is a promise that nothing ran; a stream holds the pieces of
-/// one run, or of runs that continue each other; exactly one final answer.
+/// Invariants for every order of events: a request that is not repeatable is sent again only if no
+/// earlier dispatch can have run; a refusal guarantees that nothing ran; a stream contains the
+/// events of one run, or of runs that continue each other; there is exactly one final response.
 class RelayCourse {
  public:
   explicit RelayCourse(RelayTerms terms) : terms_(terms) {}
 
-  /// \brief Takes an event. After the end of the course there are no actions.
+  /// \brief Processes an event. Returns no actions once ended.
   std::vector<RelayAction> step(const RelayEvent& event);
   bool ended() const { return phase_ == Phase::ended; }
-  /// \brief Whether part of the answer went to the caller.
+  /// \brief Whether part of the response was sent to the caller.
   bool started() const { return started_; }
   /// \brief Whether an upstream may have run the request.
   bool mayHaveRun() const { return runs_ > 0; }
@@ -63,11 +63,11 @@
   RelayTerms terms_;
   Phase phase_ = Phase::waiting;
   bool started_ = false;
-  /// A whole answer that says failure came; it is passed if no better one comes.
+  /// A complete error response was received; it is forwarded if no later attempt succeeds.
   bool hasFallbackResponse_ = false;
   /// Dispatches that may have run.
   int runs_ = 0;
-  /// Dispatches that did not.
+  /// Dispatches that did not run.
   int rejections_ = 0;
   /// Dispatches that reached an upstream.
   int deliveries_ = 0;
--- a/Hallchute/src/Relay/RelayEvent.h
+++ b/Hallchute/src/Relay/RelayEvent.h
@@ -8,29 +8,29 @@
 
 namespace Hallchute {
 
-/// \brief What happens to a request under way; see RelayCourse. \ingroup Relay
+/// \brief Events of a request in progress; see RelayStateMachine. \ingroup Relay
 namespace RelayEvents {
 
-/// The request was admitted: the first dispatch may go out.
+/// The request was admitted and may be dispatched.
 struct Begin {};
-/// There is nobody to dispatch to, or the retry budget is empty.
+/// No upstream is available, or the retry budget is exhausted.
 struct NobodyToAsk {};
-/// The dispatch provably never left this host.
+/// The request was certainly not sent.
 struct NotSent {};
-/// The upstream says that it did not run the request.
+/// The upstream reported that it did not run the request.
 struct NotExecuted {};
-/// A whole event of a stream came.
+/// A complete event of a stream was received.
 struct Piece {};
-/// The whole answer came; of a stream, its end.
+/// The complete response, or the end of a stream, was received.
 struct Whole {
   bool success = true;
 };
-/// The connection ended or its bytes were faulty after the request was sent.
+/// The connection was closed or the response was malformed after the request was sent.
 struct Broken {};
-/// The upstream took the request and has been silent for longer than it should.
+/// The upstream accepted the request but sent no data within the expected time.
 struct Silent {};
 struct CallerLeft {};
-/// The time limit of the request passed.
+/// The deadline of the request passed.
 struct TimeUp {};
 
 }  // namespace RelayEvents
