--- a/Hallchute/src/Gateway/GatewaySettings.h
+++ b/Hallchute/src/Gateway/GatewaySettings.h
@@ -46,13 +46,13 @@
   /// Target time to the response or, for a stream, to its first event.
   Millis latencyObjective{1'000};
   /// Target for the longest gap between events of a stream; zero for other kinds.
-  Millis pauseObjective{0};
+  Millis gapObjective{0};
   /// 0 is the highest priority.
   int priority = 0;
   /// Maximum number of upstreams that may run the same request.
   int maxRuns = 1;
   /// Requests need no API key.
-  bool open = false;
+  bool allowsAnonymous = false;
   /// An interrupted stream may be continued by another upstream.
   bool resumable = false;
   /// Requests share prompt prefixes that engines cache.
@@ -101,7 +101,7 @@
   /// Whether rate and burst count tokens rather than requests.
   bool countsTokens = false;
   /// Tokens charged for a request that does not state its token count.
-  std::uint64_t plainTokens = 1;
+  std::uint64_t defaultTokens = 1;
   /// Per second over all daemons; 0 means unlimited.
   double rate = 0;
   double burst = 0;
--- a/Hallchute/src/Gateway/QuotaFleet.h
+++ b/Hallchute/src/Gateway/QuotaFleet.h
@@ -16,15 +16,15 @@
   /// Daemons whose reports arrive, including this one.
   std::size_t heard = 1;
   /// Fraction of the presumably running daemons whose reports arrive, in (0, 1].
-  double heardPart = 1;
+  double liveFraction = 1;
   /// One daemon's share of the fleet, and so of a quota whose earlier use is unknown to it. Empty
   /// while the fleet size is unknown.
-  std::optional<double> ownPart;
+  std::optional<double> ownShare;
   /// Peer discovery is in progress: each daemon spends its own share, and the spending of peers is
   /// charged to their shares.
-  bool meeting = false;
+  bool discovering = false;
   /// Upper bound on the remaining discovery time.
-  Millis meetingLeft{0};
+  Millis discoveryTimeLeft{0};
   /// Time until the spending of one daemon has been reported to all others.
   Millis reportLag{0};
 };
--- a/Hallchute/src/Gateway/QuotaLedger.cpp
+++ b/Hallchute/src/Gateway/QuotaLedger.cpp
@@ -52,7 +52,7 @@
   const std::chrono::duration<double> elapsed = now - bucket.refilled;
   bucket.refilled = now;
   bucket.level =
-      std::min(bucket.burst, bucket.level + elapsed.count() * bucket.rate * fleet_.heardPart);
+      std::min(bucket.burst, bucket.level + elapsed.count() * bucket.rate * fleet_.liveFraction);
 }
 
 QuotaLedger::Bucket& QuotaLedger::bucketOf(const GatewayOrganisation& organisation, Instant now) {
@@ -84,13 +84,13 @@
 
 double QuotaLedger::allowedOverdraft(const Bucket& bucket) const {
   const std::chrono::duration<double> window = tolerance_.window;
-  return tolerance_.part * (bucket.rate * window.count() + bucket.burst) + tolerance_.slack;
+  return tolerance_.fraction * (bucket.rate * window.count() + bucket.burst) + tolerance_.slack;
 }
 
 double QuotaLedger::initialLevel(const Bucket& bucket) const {
   const double fleetLevel =
       std::min(bucket.burst, allowedOverdraft(bucket) * kInitialLevelTolerance);
-  return fleetLevel * fleet_.ownPart.value_or(0);
+  return fleetLevel * fleet_.ownShare.value_or(0);
 }
 
 double QuotaLedger::expectedUnreported(const Bucket& bucket, Instant now) const {
@@ -101,8 +101,8 @@
   const std::chrono::duration<double> lag = fleet_.heard > 1 ? fleet_.reportLag : Millis(0);
   const double demand = std::min(fromOwnDemand, fromPeerSpend) * lag.count();
   const bool starting = now - started_ < tolerance_.window;
-  const double part = starting ? kReportLagToleranceAtStart : kReportLagTolerance;
-  return std::max(0.0, demand - allowedOverdraft(bucket) * part);
+  const double fraction = starting ? kReportLagToleranceAtStart : kReportLagTolerance;
+  return std::max(0.0, demand - allowedOverdraft(bucket) * fraction);
 }
 
 /// Time for a bucket to gain an amount. During discovery in a fleet of unknown size the refill rate
@@ -111,9 +111,9 @@
 double QuotaLedger::refillTimeMs(const Bucket& bucket, double amount) const {
   constexpr double kMsPerS = 1'000;
   const double atFullRate = amount / bucket.rate * kMsPerS;
-  const double atLiveRate = atFullRate / fleet_.heardPart;
-  if (!fleet_.meeting || fleet_.ownPart) return atLiveRate;
-  return std::min(atLiveRate, static_cast<double>(fleet_.meetingLeft.count()) + atFullRate);
+  const double atLiveRate = atFullRate / fleet_.liveFraction;
+  if (!fleet_.discovering || fleet_.ownShare) return atLiveRate;
+  return std::min(atLiveRate, static_cast<double>(fleet_.discoveryTimeLeft.count()) + atFullRate);
 }
 
 std::optional<QuotaShortage> QuotaLedger::take(const GatewayOrganisation& organisation,
@@ -133,11 +133,11 @@
   const double deficit = std::min(needed + unreported, bucket.burst) - bucket.level;
   const double waitMs = std::max(kMinRetryAfterMs, std::ceil(refillTimeMs(bucket, deficit)));
   // Jitter keeps requests refused at the same time from retrying at the same time.
-  const Millis comeBack(static_cast<Millis::rep>(waitMs * (1 + draw)));
-  return QuotaShortage{comeBack, bucket.level, needed, unreported};
+  const Millis retryDelay(static_cast<Millis::rep>(waitMs * (1 + draw)));
+  return QuotaShortage{retryDelay, bucket.level, needed, unreported};
 }
 
-void QuotaLedger::giveBack(const OrganisationName& organisation, double amount) {
+void QuotaLedger::refund(const OrganisationName& organisation, double amount) {
   const auto it = buckets_.find(organisation);
   if (it == buckets_.end()) return;
   it->second.level = std::min(it->second.burst, it->second.level + amount);
@@ -148,13 +148,13 @@
   const auto it = buckets_.find(organisation);
   if (it == buckets_.end()) return;
   Bucket& bucket = it->second;
-  if (!fleet_.meeting) bucket.level -= amount;
+  if (!fleet_.discovering) bucket.level -= amount;
   addToDecayingRate(bucket.peerSpendRate, bucket.peerSpendUpdated, kSpendRateTimeConstantS, amount,
                     now);
 }
 
-void QuotaLedger::applyLiveFraction(double part, Instant now) {
-  const double remaining = part / fleet_.heardPart;
+void QuotaLedger::applyLiveFraction(double fraction, Instant now) {
+  const double remaining = fraction / fleet_.liveFraction;
   for (auto& [name, bucket] : buckets_) {
     refill(bucket, now);
     if (remaining >= 1) continue;
@@ -166,12 +166,12 @@
 }
 
 void QuotaLedger::setFleet(const QuotaFleet& fleet, Instant now) {
-  applyLiveFraction(fleet.heardPart, now);
-  const bool sizeKnown = fleet_.ownPart.has_value();
-  const std::optional<double> initialShare = sizeKnown ? fleet_.ownPart : fleet.ownPart;
+  applyLiveFraction(fleet.liveFraction, now);
+  const bool sizeKnown = fleet_.ownShare.has_value();
+  const std::optional<double> initialShare = sizeKnown ? fleet_.ownShare : fleet.ownShare;
   fleet_ = fleet;
   // Later fleet sizes change the live fraction, not the initial level.
-  fleet_.ownPart = initialShare;
+  fleet_.ownShare = initialShare;
   if (sizeKnown || !initialShare) return;
   for (auto& [name, bucket] : buckets_) bucket.level += initialLevel(bucket);
 }
--- a/Hallchute/src/Gateway/QuotaLedger.h
+++ b/Hallchute/src/Gateway/QuotaLedger.h
@@ -24,7 +24,7 @@
 /// \brief Permitted overdraft of an organisation's quota in a window. \ingroup Gateway
 struct QuotaTolerance {
   /// Fraction of what the quota allows in a window.
-  double part = 0;
+  double fraction = 0;
   /// Additional constant amount, in the quota's unit.
   double slack = 0;
   Millis window{8'000};
@@ -54,7 +54,7 @@
   std::optional<QuotaShortage> take(const GatewayOrganisation& organisation, double amount,
                                     Instant now, double draw = 0);
   /// \brief Returns the amount deducted for a request that did not run.
-  void giveBack(const OrganisationName& organisation, double amount);
+  void refund(const OrganisationName& organisation, double amount);
   /// \brief Records a report that another daemon admitted a further \p amount.
   void noteSpentElsewhere(const OrganisationName& organisation, double amount, Instant now);
   /// \brief Updates the view of the fleet. The first known share of the fleet adds the initial
@@ -83,7 +83,7 @@
   double allowedOverdraft(const Bucket& bucket) const;
   /// Bucket level when this daemon starts.
   double initialLevel(const Bucket& bucket) const;
-  void applyLiveFraction(double part, Instant now);
+  void applyLiveFraction(double fraction, Instant now);
   /// Expected spending of peers during the report delay, beyond the part that the tolerance covers.
   double expectedUnreported(const Bucket& bucket, Instant now) const;
   double refillTimeMs(const Bucket& bucket, double amount) const;
--- a/Hallchute/src/Gateway/QuotaShortage.h
+++ b/Hallchute/src/Gateway/QuotaShortage.h
@@ -11,13 +11,13 @@
 /// \brief Why a request exceeds its quota; amounts in the quota's unit. \ingroup Gateway
 struct QuotaShortage {
   /// Delay after which the caller may retry.
-  Millis comeBack{0};
+  Millis retryDelay{0};
   /// Level of the token bucket; negative if the quota is overdrawn.
   double level = 0;
   /// Level that the request requires.
   double needed = 0;
   /// Expected spending of other daemons that has not been reported yet.
-  double unheard = 0;
+  double unreported = 0;
 };
 
 }  // namespace Hallchute
--- a/Hallchute/src/Gateway/UpstreamLoad.h
+++ b/Hallchute/src/Gateway/UpstreamLoad.h
@@ -16,11 +16,11 @@
   /// Requests in flight.
   std::uint32_t requests = 0;
   /// Prompt tokens of requests whose response has not started; later requests queue behind them.
-  std::uint64_t unreadTokens = 0;
+  std::uint64_t pendingPrefillTokens = 0;
 
   UpstreamLoad& operator+=(const UpstreamLoad& more) {
     requests += more.requests;
-    unreadTokens += more.unreadTokens;
+    pendingPrefillTokens += more.pendingPrefillTokens;
     return *this;
   }
   bool operator==(const UpstreamLoad&) const = default;
--- a/Hallchute/src/Gateway/UpstreamPick.cpp
+++ b/Hallchute/src/Gateway/UpstreamPick.cpp
@@ -54,16 +54,16 @@
 
 enum class Tier { healthy, ejected, unlisted, ineligible };
 
-Tier tierOf(const UpstreamTable& table, const UpstreamEntry& entry, const UpstreamWish& criteria,
-            Instant now) {
+Tier tierOf(const UpstreamTable& table, const UpstreamEntry& entry,
+            const UpstreamCriteria& criteria, Instant now) {
   if (entry.record.service != criteria.service) return Tier::ineligible;
   if (entry.record.state == UpstreamState::draining) return Tier::ineligible;
   if (criteria.tried.contains(entry.record.id)) return Tier::ineligible;
-  if (entry.goneSince) {
-    return now - *entry.goneSince <= kUsableAfterUnlisted ? Tier::unlisted : Tier::ineligible;
+  if (entry.unlistedSince) {
+    return now - *entry.unlistedSince <= kUsableAfterUnlisted ? Tier::unlisted : Tier::ineligible;
   }
   const bool ejected =
-      now < entry.shunnedUntil || table.domainUnreachable(entry.record.domain, now);
+      now < entry.ejectedUntil || table.domainUnreachable(entry.record.domain, now);
   return ejected ? Tier::ejected : Tier::healthy;
 }
 
@@ -88,7 +88,7 @@
 }
 
 const UpstreamEntry* pickByAffinity(std::span<const UpstreamEntry* const> entries,
-                                    const UpstreamWish& criteria) {
+                                    const UpstreamCriteria& criteria) {
   double total = 0;
   for (const UpstreamEntry* entry : entries) total += entry->load();
   const double bound = kLoadBound * total / static_cast<double>(entries.size()) + kLoadSlack;
@@ -100,10 +100,11 @@
   const UpstreamEntry* best = candidates.front().entry;
   const double recomputeCost =
       kRecomputeCost * static_cast<double>(criteria.sharedTokens) + kRecomputeSlackTokens;
-  double bestCost = static_cast<double>(best->unreadTokens());
+  double bestCost = static_cast<double>(best->pendingPrefillTokens());
   for (const Candidate& candidate : candidates) {
     if (candidate.entry == nullptr || candidate.entry == candidates.front().entry) continue;
-    const double cost = static_cast<double>(candidate.entry->unreadTokens()) + recomputeCost;
+    const double cost =
+        static_cast<double>(candidate.entry->pendingPrefillTokens()) + recomputeCost;
     if (cost >= bestCost) continue;
     best = candidate.entry;
     bestCost = cost;
@@ -116,7 +117,7 @@
 }
 
 /// Occupied fraction of an upstream's slots, plus the cost of another failure domain.
-double occupancy(const UpstreamEntry& entry, const UpstreamWish& criteria, double requests) {
+double occupancy(const UpstreamEntry& entry, const UpstreamCriteria& criteria, double requests) {
   const double remoteCost = entry.record.domain == criteria.ownDomain ? 0 : kRemoteDomainCost;
   return requests / slotsOf(entry) + remoteCost;
 }
@@ -136,7 +137,7 @@
 }
 
 const UpstreamEntry* pickLeastLoaded(std::span<const UpstreamEntry* const> entries,
-                                     const UpstreamWish& criteria) {
+                                     const UpstreamCriteria& criteria) {
   return cheapest(entries, [&](const UpstreamEntry& entry) {
     // The hash score is less than one request, so it only breaks ties.
     return occupancy(entry, criteria, entry.load() + hashScore(entry, criteria.requestId));
@@ -149,7 +150,7 @@
 /// rejected 0.4% of requests with a 95th percentile wait of 168 ms, the weighted choice none with
 /// 16 ms; with one upstream at a third of its speed, 1.2% and 355 ms against none and 66 ms.
 const UpstreamEntry* pickByFreeSlots(std::span<const UpstreamEntry* const> entries,
-                                     const UpstreamWish& criteria) {
+                                     const UpstreamCriteria& criteria) {
   return cheapest(entries, [&](const UpstreamEntry& entry) {
     const double freeFraction =
         std::max(kMinFreeFraction, 1 - occupancy(entry, criteria, entry.load()));
@@ -160,7 +161,7 @@
 }
 
 const UpstreamEntry* pickByLoad(std::span<const UpstreamEntry* const> entries,
-                                const UpstreamWish& criteria) {
+                                const UpstreamCriteria& criteria) {
   double own = 0;
   double all = 0;
   for (const UpstreamEntry* entry : entries) {
@@ -173,7 +174,7 @@
 
 }  // namespace
 
-const UpstreamEntry* pickUpstream(const UpstreamTable& table, const UpstreamWish& criteria,
+const UpstreamEntry* pickUpstream(const UpstreamTable& table, const UpstreamCriteria& criteria,
                                   Instant now) {
   std::vector<const UpstreamEntry*> eligible;
   Tier best = Tier::ineligible;
@@ -189,20 +190,20 @@
                                    : pickByAffinity(eligible, criteria);
 }
 
-const UpstreamEntry* cacheSource(const UpstreamTable& table, const UpstreamWish& criteria,
+const UpstreamEntry* cacheSource(const UpstreamTable& table, const UpstreamCriteria& criteria,
                                  const UpstreamEntry& chosen, Instant now) {
-  const bool recentlyListed = now - chosen.knownSince < kCacheFillTime;
+  const bool recentlyListed = now - chosen.listedSince < kCacheFillTime;
   const double chosenScore = hashScore(chosen, criteria.affinity);
   const UpstreamEntry* best = nullptr;
   double bestScore = -1;
   for (const auto& [id, entry] : table.entries()) {
     if (id == chosen.record.id || entry.record.service != criteria.service) continue;
     // A draining upstream still serves cache exports.
-    if (entry.goneSince || now < entry.shunnedUntil) continue;
+    if (entry.unlistedSince || now < entry.ejectedUntil) continue;
     if (table.domainUnreachable(entry.record.domain, now)) continue;
     const double score = hashScore(entry, criteria.affinity);
     const bool rankedBefore =
-        recentlyListed ? entry.knownSince < chosen.knownSince : score > chosenScore;
+        recentlyListed ? entry.listedSince < chosen.listedSince : score > chosenScore;
     if (!rankedBefore || score <= bestScore) continue;
     best = &entry;
     bestScore = score;
--- a/Hallchute/src/Gateway/UpstreamPick.h
+++ b/Hallchute/src/Gateway/UpstreamPick.h
@@ -13,7 +13,7 @@
 namespace Hallchute {
 
 /// \brief Selection criteria for the upstream of a request. \ingroup Gateway
-struct UpstreamWish {
+struct UpstreamCriteria {
   ServiceName service;
   /// Requests with equal affinity keys share prompt prefixes; empty if nothing is shared.
   std::string affinity;
@@ -35,14 +35,14 @@
 /// free slots; both prefer the own failure domain. Ejected and unlisted upstreams are used only if
 /// no others are left, unlisted ones for a short time only. Cost: one pass and one hash per
 /// upstream.
-const UpstreamEntry* pickUpstream(const UpstreamTable& table, const UpstreamWish& criteria,
+const UpstreamEntry* pickUpstream(const UpstreamTable& table, const UpstreamCriteria& criteria,
                                   Instant now);
 
 /// \brief Selects the upstream that has probably cached the prompt prefix which \p chosen lacks:
 /// the previous first choice for the affinity key, if it is draining or overloaded or was
 /// superseded when \p chosen was listed; null if \p chosen has probably cached the prefix itself.
 /// Cost: one pass and one hash per upstream.
-const UpstreamEntry* cacheSource(const UpstreamTable& table, const UpstreamWish& criteria,
+const UpstreamEntry* cacheSource(const UpstreamTable& table, const UpstreamCriteria& criteria,
                                  const UpstreamEntry& chosen, Instant now);
 
 }  // namespace Hallchute
--- a/Hallchute/src/Gateway/UpstreamRecord.h
+++ b/Hallchute/src/Gateway/UpstreamRecord.h
@@ -42,7 +42,7 @@
   /// Runs on capacity that the platform may reclaim.
   bool reclaimable = false;
   /// Remaining warm-up time, during which it is slow.
-  Millis coldFor{0};
+  Millis warmupRemaining{0};
   /// Start time in ms since the Unix epoch; 0 if not reported. A different value denotes a new
   /// process, which shares no state with the previous one.
   std::uint64_t incarnation = 0;
--- a/Hallchute/src/Gateway/UpstreamTable.cpp
+++ b/Hallchute/src/Gateway/UpstreamTable.cpp
@@ -64,18 +64,18 @@
       fresh.leaving = entry.leaving;
       entry = std::move(fresh);
     }
-    if ((!known && !initial) || restarted) entry.knownSince = now;
+    if ((!known && !initial) || restarted) entry.listedSince = now;
     entry.record = record;
     if (!restarted && record.incarnation == 0) entry.record.incarnation = before;
-    entry.goneSince.reset();
+    entry.unlistedSince.reset();
     // A draining process never becomes ready again; only a new incarnation does.
     const bool alreadyDraining = entry.leaving == entry.record.incarnation;
     if (alreadyDraining) entry.record.state = UpstreamState::draining;
     if (entry.record.state == UpstreamState::draining) entry.leaving = entry.record.incarnation;
   }
   for (auto& [id, entry] : entries_) {
-    if (listed.contains(id) || entry.goneSince) continue;
-    entry.goneSince = now;
+    if (listed.contains(id) || entry.unlistedSince) continue;
+    entry.unlistedSince = now;
     removed.push_back(id);
   }
   return removed;
@@ -110,19 +110,19 @@
                                    std::optional<std::uint64_t> incarnation) {
   UpstreamEntry* const entry = findIncarnation(upstream, incarnation);
   if (entry == nullptr) return;
-  std::uint64_t& unread = entry->own.unreadTokens;
+  std::uint64_t& unread = entry->own.pendingPrefillTokens;
   unread -= std::min(unread, promptTokens);
 }
 
 void UpstreamTable::noteFailure(UpstreamEntry& entry, Instant now) {
-  ++entry.failuresInARow;
-  if (entry.failuresInARow < kFailuresToEject) return;
+  ++entry.consecutiveFailures;
+  if (entry.consecutiveFailures < kFailuresToEject) return;
   Millis ejection = kBaseEjection;
-  for (std::uint32_t i = kFailuresToEject; i < entry.failuresInARow && ejection < kMaxEjection;
+  for (std::uint32_t i = kFailuresToEject; i < entry.consecutiveFailures && ejection < kMaxEjection;
        ++i) {
     ejection *= 2;
   }
-  entry.shunnedUntil = now + std::min(ejection, kMaxEjection);
+  entry.ejectedUntil = now + std::min(ejection, kMaxEjection);
 }
 
 void UpstreamTable::noteEnded(const UpstreamId& upstream, DispatchResult result, Instant now,
@@ -134,14 +134,14 @@
   switch (result) {
     case DispatchResult::answered:
       outages_.erase(entry.record.domain);
-      entry.failuresInARow = 0;
-      entry.shunnedUntil = {};
+      entry.consecutiveFailures = 0;
+      entry.ejectedUntil = {};
       return;
     case DispatchResult::rejected:
-      entry.shunnedUntil = std::max(entry.shunnedUntil, now + kRejectedEjection);
+      entry.ejectedUntil = std::max(entry.ejectedUntil, now + kRejectedEjection);
       return;
     case DispatchResult::unreachable:
-      entry.shunnedUntil = std::max(entry.shunnedUntil, now + kUnreachableEjection);
+      entry.ejectedUntil = std::max(entry.ejectedUntil, now + kUnreachableEjection);
       noteFailure(entry, now);
       noteUnreachable(entry, now);
       return;
@@ -168,24 +168,24 @@
   return it != outages_.end() && now < it->second.until;
 }
 
-void UpstreamTable::noteReplaced(const UpstreamId& upstream, Instant now) {
+void UpstreamTable::noteAddressReused(const UpstreamId& upstream, Instant now) {
   const auto it = entries_.find(upstream);
-  if (it != entries_.end() && !it->second.goneSince)
-    it->second.goneSince = now - kUnlistedRetention;
+  if (it != entries_.end() && !it->second.unlistedSince)
+    it->second.unlistedSince = now - kUnlistedRetention;
 }
 
-void UpstreamTable::setLoadsElsewhere(const UpstreamLoads& loads) {
+void UpstreamTable::setPeerLoads(const UpstreamLoads& loads) {
   for (auto& [id, entry] : entries_) {
     const auto it = loads.find(id);
-    entry.elsewhere = it == loads.end() ? UpstreamLoad{} : it->second;
+    entry.peerLoad = it == loads.end() ? UpstreamLoad{} : it->second;
   }
 }
 
 void UpstreamTable::sweep(Instant now) {
   std::erase_if(entries_, [&](const auto& item) {
     const UpstreamEntry& entry = item.second;
-    return entry.goneSince && entry.own.requests == 0 &&
-           now - *entry.goneSince > kUnlistedRetention;
+    return entry.unlistedSince && entry.own.requests == 0 &&
+           now - *entry.unlistedSince > kUnlistedRetention;
   });
 }
 
--- a/Hallchute/src/Gateway/UpstreamTable.h
+++ b/Hallchute/src/Gateway/UpstreamTable.h
@@ -41,21 +41,23 @@
 struct UpstreamEntry {
   UpstreamRecord record;
   /// When the directory first listed this process; default if it was in the first listing.
-  Instant knownSince{};
+  Instant listedSince{};
   /// When the directory stopped listing it.
-  std::optional<Instant> goneSince;
+  std::optional<Instant> unlistedSince;
   /// Gets no requests until then unless no other upstream is available.
-  Instant shunnedUntil{};
-  std::uint32_t failuresInARow = 0;
+  Instant ejectedUntil{};
+  std::uint32_t consecutiveFailures = 0;
   /// The last incarnation that the directory or a peer reported as draining.
   std::optional<std::uint64_t> leaving;
   /// Load from this daemon.
   UpstreamLoad own;
   /// Load from the other daemons, as last reported.
-  UpstreamLoad elsewhere;
+  UpstreamLoad peerLoad;
 
-  std::uint32_t load() const { return own.requests + elsewhere.requests; }
-  std::uint64_t unreadTokens() const { return own.unreadTokens + elsewhere.unreadTokens; }
+  std::uint32_t load() const { return own.requests + peerLoad.requests; }
+  std::uint64_t pendingPrefillTokens() const {
+    return own.pendingPrefillTokens + peerLoad.pendingPrefillTokens;
+  }
 };
 
 /// \brief The upstreams with their state, load and recent failures. Not thread-safe; no I/O, no
@@ -80,8 +82,8 @@
   void noteEnded(const UpstreamId& upstream, DispatchResult result, Instant now,
                  std::optional<std::uint64_t> incarnation = {});
   /// \brief Records that the upstream's address now belongs to another upstream.
-  void noteReplaced(const UpstreamId& upstream, Instant now);
-  void setLoadsElsewhere(const UpstreamLoads& loads);
+  void noteAddressReused(const UpstreamId& upstream, Instant now);
+  void setPeerLoads(const UpstreamLoads& loads);
   /// \brief Removes upstreams that have been unlisted for some time and have no requests in flight.
   void sweep(Instant now);
 
--- a/Hallchute/src/Relay/EventSplitter.h
+++ b/Hallchute/src/Relay/EventSplitter.h
@@ -27,7 +27,7 @@
   /// \brief Extracts the next complete event, including the blank line that ends it.
   std::optional<StreamEvent> next();
   /// \brief The bytes after the last complete event.
-  const std::string& rest() const { return pending_; }
+  const std::string& incompleteEvent() const { return pending_; }
 
  private:
   std::string pending_;
--- a/Hallchute/src/Relay/RelayAction.h
+++ b/Hallchute/src/Relay/RelayAction.h
@@ -14,7 +14,7 @@
 /// Select an upstream and send the request to it.
 struct Dispatch {
   /// An earlier dispatch reached an upstream, so this one counts against the retry budget.
-  bool repeat = false;
+  bool retry = false;
   /// The stream resumes after the last forwarded event.
   bool resume = false;
   bool operator==(const Dispatch&) const = default;
@@ -24,17 +24,17 @@
   bool operator==(const Cancel&) const = default;
 };
 /// Forward the event, preceded by the response head if it is the first.
-struct PassPiece {
+struct ForwardEvent {
   bool first = false;
-  bool operator==(const PassPiece&) const = default;
+  bool operator==(const ForwardEvent&) const = default;
 };
 /// End the response: the stream is complete.
-struct PassEnd {
-  bool operator==(const PassEnd&) const = default;
+struct EndStream {
+  bool operator==(const EndStream&) const = default;
 };
 /// Forward the last complete response.
-struct PassWhole {
-  bool operator==(const PassWhole&) const = default;
+struct ForwardResponse {
+  bool operator==(const ForwardResponse&) const = default;
 };
 /// Report to the caller that the request did not run, with a retry delay.
 struct Refuse {
@@ -42,21 +42,21 @@
 };
 /// Report to the caller that the request may have run.
 struct Fail {
-  bool timeUp = false;
+  bool deadlineExceeded = false;
   bool operator==(const Fail&) const = default;
 };
 /// Abort a started stream so that the caller can't mistake it for a complete one.
-struct BreakOff {
-  bool operator==(const BreakOff&) const = default;
+struct AbortStream {
+  bool operator==(const AbortStream&) const = default;
 };
 
 }  // namespace RelayActions
 
 /// \ingroup Relay
 using RelayAction =
-    std::variant<RelayActions::Dispatch, RelayActions::Cancel, RelayActions::PassPiece,
-                 RelayActions::PassEnd, RelayActions::PassWhole, RelayActions::Refuse,
-                 RelayActions::Fail, RelayActions::BreakOff>;
+    std::variant<RelayActions::Dispatch, RelayActions::Cancel, RelayActions::ForwardEvent,
+                 RelayActions::EndStream, RelayActions::ForwardResponse, RelayActions::Refuse,
+                 RelayActions::Fail, RelayActions::AbortStream>;
 
 }  // namespace Hallchute
 
--- a/Hallchute/src/Relay/RelayEvent.h
+++ b/Hallchute/src/Relay/RelayEvent.h
@@ -14,32 +14,33 @@
 /// The request was admitted and may be dispatched.
 struct Begin {};
 /// No upstream is available, or the retry budget is exhausted.
-struct NobodyToAsk {};
+struct NoUpstreamAvailable {};
 /// The request was certainly not sent.
 struct NotSent {};
 /// The upstream reported that it did not run the request.
 struct NotExecuted {};
 /// A complete event of a stream was received.
-struct Piece {};
+struct StreamEventReceived {};
 /// The complete response, or the end of a stream, was received.
-struct Whole {
+struct ResponseComplete {
   bool success = true;
 };
 /// The connection was closed or the response was malformed after the request was sent.
-struct Broken {};
+struct ConnectionBroken {};
 /// The upstream accepted the request but sent no data within the expected time.
-struct Silent {};
-struct CallerLeft {};
+struct UpstreamSilent {};
+struct CallerDisconnected {};
 /// The deadline of the request passed.
-struct TimeUp {};
+struct DeadlineExceeded {};
 
 }  // namespace RelayEvents
 
 /// \ingroup Relay
-using RelayEvent = std::variant<RelayEvents::Begin, RelayEvents::NobodyToAsk, RelayEvents::NotSent,
-                                RelayEvents::NotExecuted, RelayEvents::Piece, RelayEvents::Whole,
-                                RelayEvents::Broken, RelayEvents::Silent, RelayEvents::CallerLeft,
-                                RelayEvents::TimeUp>;
+using RelayEvent = std::variant<RelayEvents::Begin, RelayEvents::NoUpstreamAvailable,
+                                RelayEvents::NotSent, RelayEvents::NotExecuted,
+                                RelayEvents::StreamEventReceived, RelayEvents::ResponseComplete,
+                                RelayEvents::ConnectionBroken, RelayEvents::UpstreamSilent,
+                                RelayEvents::CallerDisconnected, RelayEvents::DeadlineExceeded>;
 
 }  // namespace Hallchute
 
--- a/Hallchute/src/Traffic/TrafficEngine.h
+++ b/Hallchute/src/Traffic/TrafficEngine.h
@@ -31,7 +31,7 @@
 struct SessionAdmission;
 struct ClientRequest;
 struct HttpHead;
-struct UpstreamWish;
+struct UpstreamCriteria;
 
 /// \brief What the other daemons told, as far as traffic needs it. \ingroup Traffic
 struct FleetTold {
