--- a/Hallchute/src/Routing/Candidate.h
+++ b/Hallchute/src/Routing/Candidate.h
@@ -12,31 +12,31 @@
 
 namespace Hallchute {
 
-/// \brief An upstream with room, as a policy sees it for one request.
+/// \brief An upstream with free capacity, as presented to a policy for one request.
 /// \ingroup Routing
 struct Candidate {
-  /// Its place in the owner's table; what a policy returns.
+  /// Index in the owner's upstream table; the value that a policy returns.
   std::size_t slot = 0;
   std::uint64_t idHash = 0;
   std::size_t inFlight = 0;
-  /// Prompt and output tokens granted there and not yet done.
+  /// Prompt and output tokens granted to this upstream and not yet completed.
   std::size_t pendingTokens = 0;
-  /// Tokens of this request's prompt that its cache is taken to hold.
+  /// Estimated tokens of this request's prompt that are in the upstream's prefix cache.
   std::size_t cachedTokens = 0;
-  /// What the tokens not held cost to compute, those of blocks in common use counting less: the
-  /// copy made here will serve others.
+  /// Cost of computing the uncached tokens. Tokens of frequently used blocks are weighted lower,
+  /// because later requests reuse the cached copy.
   double computeCost = 0;
-  /// How long ago the block that its cache would drop next was used, in prompts sent by the owner;
-  /// nothing while its cache has room.
+  /// Age of the block that the cache would evict next: the number of prompts the owner has sent
+  /// since its last use. Empty while the cache is not full.
   std::optional<std::uint64_t> evictionAge = {};
 };
 
-/// \brief What a policy knows of the request.
+/// \brief Properties of a request that a policy takes into account.
 /// \ingroup Routing
 struct ChoiceRequest {
   std::uint64_t affinity = 0;
   std::size_t promptTokens = 0;
-  /// Mean of inFlight over all usable upstreams of the shard, full ones included.
+  /// Mean of inFlight over all usable upstreams of the shard, including those at capacity.
   double meanInFlight = 0;
 };
 
--- a/Hallchute/src/Routing/ChoicePolicy.h
+++ b/Hallchute/src/Routing/ChoicePolicy.h
@@ -9,35 +9,36 @@
 
 namespace Hallchute {
 
-/// \brief Baseline: each usable upstream in turn.
+/// \brief Baseline: cycles through the usable upstreams.
 /// \ingroup Routing
 struct RoundRobin {
   std::size_t next = 0;
 };
 
-/// \brief Baseline: the upstream with the least work in flight.
+/// \brief Baseline: the upstream with the fewest requests in flight.
 /// \ingroup Routing
 struct LeastInFlight {};
 
-/// \brief Baseline: the same upstream for the same affinity, whatever its load.
+/// \brief Baseline: maps an affinity to a fixed upstream, regardless of load.
 /// \ingroup Routing
 struct SessionHash {};
 
-/// \brief The least cost in tokens among the upstreams under a load bound.
+/// \brief Lowest cost in tokens among the upstreams below a load bound.
 /// \ingroup Routing
 ///
-/// The cost counts the tokens to compute, again those that they push out of the cache (the more the
-/// younger these are), and the load. docs/DESIGN.md has the figures that led to each part.
+/// The cost is the sum of the tokens to compute, the tokens that they evict from the cache
+/// (weighted higher the more recently these were used) and the load. docs/DESIGN.md gives the
+/// measurements behind each term.
 struct PrefixAffinity {
-  /// Work on one upstream relative to the mean up to which its cache may draw more.
+  /// Requests in flight below which an upstream is preferred, as a multiple of the mean plus one.
   double loadBound = 4;
-  /// What a request in flight on an upstream counts, in tokens.
+  /// Cost of each request in flight on an upstream, in tokens.
   double tokensPerRequest = 100;
-  /// What an evicted token of mean age counts.
+  /// Cost of evicting a token of mean age, relative to computing one.
   double evictionWeight = 1;
 };
 
-/// \brief The ways of choosing an upstream; see docs/DESIGN.md for what was measured.
+/// \brief Policies for choosing an upstream; docs/DESIGN.md compares them.
 /// \ingroup Routing
 using ChoicePolicy = std::variant<PrefixAffinity, RoundRobin, LeastInFlight, SessionHash>;
 
--- a/Hallchute/src/Routing/PrefixBlocks.cpp
+++ b/Hallchute/src/Routing/PrefixBlocks.cpp
@@ -17,7 +17,7 @@
 PrefixBlocks prefixBlocks(std::string_view prompt) {
   PrefixBlocks blocks;
   std::size_t blockStart = 0;
-  std::uint64_t chain = 0;
+  std::uint64_t chainedHash = 0;
   bool inWord = false;
   for (std::size_t i = 0; i <= prompt.size(); ++i) {
     const bool space = i == prompt.size() || isSpace(prompt[i]);
@@ -30,8 +30,8 @@
     ++blocks.tokens;
     const bool blockEnds = blocks.tokens % PrefixBlocks::kTokensPerBlock == 0;
     if (!blockEnds || blocks.hashes.size() >= PrefixBlocks::kMaxBlocks) continue;
-    chain = stableHash(prompt.substr(blockStart, i - blockStart), chain);
-    blocks.hashes.push_back(chain);
+    chainedHash = stableHash(prompt.substr(blockStart, i - blockStart), chainedHash);
+    blocks.hashes.push_back(chainedHash);
     blockStart = i;
   }
   return blocks;
--- a/Hallchute/src/Routing/PrefixBlocks.h
+++ b/Hallchute/src/Routing/PrefixBlocks.h
@@ -11,21 +11,22 @@
 
 namespace Hallchute {
 
-/// \brief A prompt as the router sees it: its size and the chained hashes of its leading blocks.
+/// \brief Size of a prompt and chained hashes of its leading blocks, for prefix-aware routing.
 /// \ingroup Routing
 ///
-/// Two prompts share a prefix of `n * kTokensPerBlock` tokens exactly where their first n hashes
-/// are equal. The idea of chained block hashes is that of paged prefix caches.
+/// Two prompts share a prefix of `n * kTokensPerBlock` tokens if and only if their first n hashes
+/// are equal. Paged prefix caches identify their blocks by chained hashes in the same way.
 struct PrefixBlocks {
   static constexpr std::size_t kTokensPerBlock = 32;
-  /// Bounds the size of a grant message; longer prompts match on their leading blocks only.
+  /// Limits the size of a grant message; longer prompts are matched by their leading blocks only.
   static constexpr std::size_t kMaxBlocks = 256;
 
   std::size_t tokens = 0;
   std::vector<std::uint64_t> hashes;
 };
 
-/// \brief Estimates \p prompt: a word counts as a token. Cost: one pass over the text.
+/// \brief Splits \p prompt into blocks, counting each word as one token. Cost: one pass over the
+/// text.
 /// \ingroup Routing
 PrefixBlocks prefixBlocks(std::string_view prompt);
 
--- a/Hallchute/src/Routing/PrefixIndex.cpp
+++ b/Hallchute/src/Routing/PrefixIndex.cpp
@@ -11,52 +11,52 @@
     : maxBlocks_(capacityTokens / PrefixBlocks::kTokensPerBlock) {}
 
 std::size_t PrefixIndex::cachedTokens(std::span<const std::uint64_t> hashes) const {
-  std::size_t held = 0;
-  while (held < hashes.size() && places_.contains(hashes[held])) ++held;
-  return held * PrefixBlocks::kTokensPerBlock;
+  std::size_t count = 0;
+  while (count < hashes.size() && blocksByHash_.contains(hashes[count])) ++count;
+  return count * PrefixBlocks::kTokensPerBlock;
 }
 
 void PrefixIndex::use(std::span<const std::uint64_t> hashes, std::uint64_t stamp) {
   for (auto hash = hashes.rbegin(); hash != hashes.rend(); ++hash) {
-    const auto place = places_.find(*hash);
-    if (place != places_.end()) {
-      place->second->stamp = stamp;
-      ++place->second->uses;
-      recent_.splice(recent_.begin(), recent_, place->second);
+    const auto entry = blocksByHash_.find(*hash);
+    if (entry != blocksByHash_.end()) {
+      entry->second->stamp = stamp;
+      ++entry->second->uses;
+      lruBlocks_.splice(lruBlocks_.begin(), lruBlocks_, entry->second);
     } else {
-      recent_.push_front({*hash, stamp, 1});
-      places_[*hash] = recent_.begin();
+      lruBlocks_.push_front({*hash, stamp, 1});
+      blocksByHash_[*hash] = lruBlocks_.begin();
     }
   }
-  shrink();
+  evictExcess();
 }
 
 std::optional<std::uint64_t> PrefixIndex::oldestStamp() const {
-  if (places_.size() < maxBlocks_ || recent_.empty()) return std::nullopt;
-  return recent_.back().stamp;
+  if (blocksByHash_.size() < maxBlocks_ || lruBlocks_.empty()) return std::nullopt;
+  return lruBlocks_.back().stamp;
 }
 
 std::uint64_t PrefixIndex::usesOf(std::uint64_t hash) const {
-  const auto place = places_.find(hash);
-  return place == places_.end() ? 0 : place->second->uses;
+  const auto entry = blocksByHash_.find(hash);
+  return entry == blocksByHash_.end() ? 0 : entry->second->uses;
 }
 
 void PrefixIndex::drop(std::uint64_t hash) {
-  const auto place = places_.find(hash);
-  if (place == places_.end()) return;
-  recent_.erase(place->second);
-  places_.erase(place);
+  const auto entry = blocksByHash_.find(hash);
+  if (entry == blocksByHash_.end()) return;
+  lruBlocks_.erase(entry->second);
+  blocksByHash_.erase(entry);
 }
 
 void PrefixIndex::setCapacity(std::size_t capacityTokens) {
   maxBlocks_ = capacityTokens / PrefixBlocks::kTokensPerBlock;
-  shrink();
+  evictExcess();
 }
 
-void PrefixIndex::shrink() {
-  while (places_.size() > maxBlocks_) {
-    places_.erase(recent_.back().hash);
-    recent_.pop_back();
+void PrefixIndex::evictExcess() {
+  while (blocksByHash_.size() > maxBlocks_) {
+    blocksByHash_.erase(lruBlocks_.back().hash);
+    lruBlocks_.pop_back();
   }
 }
 
--- a/Hallchute/src/Routing/PrefixIndex.h
+++ b/Hallchute/src/Routing/PrefixIndex.h
@@ -13,32 +13,32 @@
 
 namespace Hallchute {
 
-/// \brief What one upstream's prefix cache is taken to hold: the blocks sent there, least recently
-/// used out first.
+/// \brief Estimated content of one upstream's prefix cache: the blocks sent there, with
+/// least-recently-used eviction.
 /// \ingroup Routing
 ///
-/// Cost: amortised constant time a block; about 80 bytes a block held.
+/// Cost: amortised constant time per block; about 80 bytes per cached block.
 class PrefixIndex {
  public:
-  /// \param capacityTokens what the upstream's cache holds.
+  /// \param capacityTokens capacity of the upstream's cache, in tokens.
   explicit PrefixIndex(std::size_t capacityTokens);
 
-  /// \brief Tokens of the prompt's leading blocks that are held.
+  /// \brief Number of tokens in the prompt's leading blocks that are cached.
   std::size_t cachedTokens(std::span<const std::uint64_t> hashes) const;
-  /// \brief Notes that a prompt was sent; its tail goes out before its head.
-  /// \param stamp a clock of the owner's that rises with each prompt it sends anywhere.
+  /// \brief Records that a prompt was sent; its last blocks are evicted before its first.
+  /// \param stamp logical clock of the owner, incremented for each prompt sent to any upstream.
   void use(std::span<const std::uint64_t> hashes, std::uint64_t stamp = 0);
-  /// \brief Stamp of the block that would go out next; nothing while there is room.
+  /// \brief Stamp of the block that would be evicted next; empty while the cache is not full.
   std::optional<std::uint64_t> oldestStamp() const;
-  /// \brief How many prompts have used the block since it came here; 0 if it is not held.
+  /// \brief Number of prompts that have used the block since it was cached; 0 if it is not cached.
   std::uint64_t usesOf(std::uint64_t hash) const;
-  /// \brief Takes a cache event into account: the upstream dropped this block.
+  /// \brief Applies a cache event: the upstream evicted this block.
   void drop(std::uint64_t hash);
   void setCapacity(std::size_t capacityTokens);
-  std::size_t blocks() const { return places_.size(); }
+  std::size_t blocks() const { return blocksByHash_.size(); }
 
  private:
-  void shrink();
+  void evictExcess();
 
   std::size_t maxBlocks_;
   struct Block {
@@ -47,8 +47,8 @@
     std::uint64_t uses;
   };
 
-  std::list<Block> recent_;
-  std::unordered_map<std::uint64_t, std::list<Block>::iterator> places_;
+  std::list<Block> lruBlocks_;
+  std::unordered_map<std::uint64_t, std::list<Block>::iterator> blocksByHash_;
 };
 
 }  // namespace Hallchute
--- a/Hallchute/src/Routing/Rendezvous.h
+++ b/Hallchute/src/Routing/Rendezvous.h
@@ -12,11 +12,12 @@
 
 namespace Hallchute {
 
-/// \brief Ranks \p members for \p key by highest random weight: the first one owns the key.
+/// \brief Ranks \p members for \p key by rendezvous (highest random weight) hashing; the first one
+/// owns the key.
 /// \ingroup Routing
 ///
-/// Every process computes the same order from the same members. When a member goes, only the keys
-/// it owned move. Cost: one hash a member and a sort.
+/// Every process computes the same order from the same members. When a member leaves, only the keys
+/// that it owned are reassigned. Cost: one hash per member and a sort.
 std::vector<DaemonId> rankOwners(std::string_view key, std::span<const DaemonId> members);
 
 }  // namespace Hallchute
--- a/Hallchute/src/Routing/ShardKey.cpp
+++ b/Hallchute/src/Routing/ShardKey.cpp
@@ -11,7 +11,7 @@
 namespace Hallchute {
 namespace {
 
-std::uint64_t weightOf(std::string_view text, std::uint32_t index) {
+std::uint64_t rendezvousWeight(std::string_view text, std::uint32_t index) {
   return stableHash(text, stableHash(std::to_string(index)));
 }
 
@@ -30,7 +30,7 @@
   std::uint32_t best = 0;
   std::uint64_t bestWeight = 0;
   for (std::uint32_t index = 0; index < count; ++index) {
-    const std::uint64_t weight = weightOf(upstream.str(), index);
+    const std::uint64_t weight = rendezvousWeight(upstream.str(), index);
     if (index > 0 && weight <= bestWeight) continue;
     best = index;
     bestWeight = weight;
@@ -42,8 +42,9 @@
   std::vector<std::uint32_t> order(count);
   std::iota(order.begin(), order.end(), 0U);
   const std::string key = std::to_string(affinity);
-  std::sort(order.begin(), order.end(),
-            [&](std::uint32_t a, std::uint32_t b) { return weightOf(key, a) > weightOf(key, b); });
+  std::sort(order.begin(), order.end(), [&](std::uint32_t a, std::uint32_t b) {
+    return rendezvousWeight(key, a) > rendezvousWeight(key, b);
+  });
   return order;
 }
 
--- a/Hallchute/src/Routing/ShardKey.h
+++ b/Hallchute/src/Routing/ShardKey.h
@@ -15,7 +15,8 @@
 
 namespace Hallchute {
 
-/// \brief Upstreams of a service in a failure domain that one owner daemon hands out.
+/// \brief Identifies a shard: upstreams of a service in one failure domain, granted by one owner
+/// daemon.
 /// \ingroup Routing
 struct ShardKey {
   ServiceName service;
@@ -24,11 +25,11 @@
 
   auto operator<=>(const ShardKey&) const = default;
   bool operator==(const ShardKey&) const = default;
-  /// \brief The text that rendezvous hashing ranks owners by.
+  /// \brief Key for ranking owners by rendezvous hashing.
   std::string text() const;
 };
 
-/// \brief Upstreams that one shard is meant to hold.
+/// \brief Maximum average number of upstreams per shard.
 /// \ingroup Routing
 inline constexpr std::size_t kUpstreamsPerShard = 16;
 
@@ -36,12 +37,12 @@
 /// \ingroup Routing
 std::uint32_t shardCount(std::size_t upstreams);
 
-/// \brief The shard of \p upstream among \p count. When the count grows by one, only the upstreams
-/// of the new shard move.
+/// \brief The shard of \p upstream among \p count shards. When the count grows by one, only the
+/// upstreams assigned to the new shard move.
 /// \ingroup Routing
 std::uint32_t shardOf(const UpstreamId& upstream, std::uint32_t count);
 
-/// \brief All shards in the order in which a request with \p affinity tries them.
+/// \brief Indices of all shards, in the order in which a request with \p affinity tries them.
 /// \ingroup Routing
 std::vector<std::uint32_t> shardOrder(std::uint64_t affinity, std::uint32_t count);
 
--- a/Hallchute/src/Routing/UpstreamChooser.cpp
+++ b/Hallchute/src/Routing/UpstreamChooser.cpp
@@ -8,10 +8,10 @@
 namespace Hallchute {
 namespace {
 
-/// An idle shard may still give an upstream this many requests for the sake of its cache.
-constexpr double kLeastBound = 2.0;
-/// However young an evicted token is, it counts no more than so many of mean age.
-constexpr double kMostYouth = 4;
+/// Minimum load bound in requests, so that cache affinity also applies in a nearly idle shard.
+constexpr double kMinLoadBound = 2.0;
+/// Upper limit for the cost of evicting a recently used token, relative to one of mean age.
+constexpr double kMaxRecencyFactor = 4;
 
 bool lessLoaded(const Candidate& a, const Candidate& b) {
   if (a.inFlight != b.inFlight) return a.inFlight < b.inFlight;
@@ -19,14 +19,16 @@
   return a.idHash < b.idHash;
 }
 
-struct Chooser {
+struct PolicyVisitor {
   const ChoiceRequest& request;
   std::span<const Candidate> candidates;
 
   std::size_t operator()(RoundRobin& policy) const {
-    const auto after = std::find_if(candidates.begin(), candidates.end(),
-                                    [&](const Candidate& c) { return c.slot >= policy.next; });
-    const Candidate& chosen = after == candidates.end() ? candidates.front() : *after;
+    const auto nextCandidate =
+        std::find_if(candidates.begin(), candidates.end(),
+                     [&](const Candidate& c) { return c.slot >= policy.next; });
+    const Candidate& chosen =
+        nextCandidate == candidates.end() ? candidates.front() : *nextCandidate;
     policy.next = chosen.slot + 1;
     return chosen.slot;
   }
@@ -36,7 +38,9 @@
   }
 
   std::size_t operator()(SessionHash&) const {
-    const auto weight = [&](const Candidate& c) { return c.idHash ^ (request.affinity * kMix); };
+    const auto weight = [&](const Candidate& c) {
+      return c.idHash ^ (request.affinity * kHashMultiplier);
+    };
     return std::min_element(
                candidates.begin(), candidates.end(),
                [&](const Candidate& a, const Candidate& b) { return weight(a) < weight(b); })
@@ -44,19 +48,20 @@
   }
 
   std::size_t operator()(const PrefixAffinity& policy) const {
-    const double bound = std::max(kLeastBound, policy.loadBound * (request.meanInFlight + 1));
+    const double bound = std::max(kMinLoadBound, policy.loadBound * (request.meanInFlight + 1));
     const double meanAge = meanEvictionAge();
     const Candidate* best = nullptr;
     double bestCost = 0;
-    bool bestFits = false;
+    bool bestUnderBound = false;
     for (const Candidate& candidate : candidates) {
-      const bool fits = static_cast<double>(candidate.inFlight) < bound;
+      const bool underBound = static_cast<double>(candidate.inFlight) < bound;
       const double cost = costOf(policy, candidate, meanAge);
-      const bool better = best == nullptr || (fits != bestFits ? fits : cost < bestCost);
+      const bool better =
+          best == nullptr || (underBound != bestUnderBound ? underBound : cost < bestCost);
       if (!better) continue;
       best = &candidate;
       bestCost = cost;
-      bestFits = fits;
+      bestUnderBound = underBound;
     }
     return best->slot;
   }
@@ -65,8 +70,8 @@
     const double uncached = candidate.computeCost;
     double evicted = 0;
     if (candidate.evictionAge) {
-      const double youth = meanAge / static_cast<double>(*candidate.evictionAge + 1);
-      evicted = uncached * policy.evictionWeight * std::min(youth, kMostYouth);
+      const double recencyFactor = meanAge / static_cast<double>(*candidate.evictionAge + 1);
+      evicted = uncached * policy.evictionWeight * std::min(recencyFactor, kMaxRecencyFactor);
     }
     return uncached + evicted + policy.tokensPerRequest * static_cast<double>(candidate.inFlight);
   }
@@ -82,7 +87,7 @@
     return count == 0 ? 1 : sum / count;
   }
 
-  static constexpr std::uint64_t kMix = 0x9E3779B97F4A7C15ULL;
+  static constexpr std::uint64_t kHashMultiplier = 0x9E3779B97F4A7C15ULL;
 };
 
 }  // namespace
@@ -90,7 +95,7 @@
 std::optional<std::size_t> chooseUpstream(ChoicePolicy& policy, const ChoiceRequest& request,
                                           std::span<const Candidate> candidates) {
   if (candidates.empty()) return std::nullopt;
-  return std::visit(Chooser{request, candidates}, policy);
+  return std::visit(PolicyVisitor{request, candidates}, policy);
 }
 
 }  // namespace Hallchute
--- a/Hallchute/src/Routing/UpstreamChooser.h
+++ b/Hallchute/src/Routing/UpstreamChooser.h
@@ -12,10 +12,10 @@
 
 namespace Hallchute {
 
-/// \brief The slot that \p policy takes for \p request, or nothing if no candidate will do.
+/// \brief Returns the slot that \p policy chooses for \p request; empty if there are no candidates.
 /// \ingroup Routing
-/// \param policy keeps state between calls (RoundRobin).
-/// \param candidates upstreams with room, in slot order. Cost: one pass.
+/// \param policy keeps state between calls for RoundRobin.
+/// \param candidates upstreams with free capacity, in slot order. Cost: linear in their number.
 std::optional<std::size_t> chooseUpstream(ChoicePolicy& policy, const ChoiceRequest& request,
                                           std::span<const Candidate> candidates);
 
