--- a/Hallchute/src/Traffic/RetryAfter.h
+++ b/Hallchute/src/Traffic/RetryAfter.h
@@ -12,8 +12,8 @@
 
 namespace Hallchute {
 
-/// \brief The value of a `Retry-After` field: seconds with three decimals, as callers here take
-/// fractions. \ingroup Traffic
+/// \brief The value of a `Retry-After` field: seconds with three decimals, because callers of this
+/// system accept fractions of a second. \ingroup Traffic
 inline std::string retryAfterText(Millis wait) {
   constexpr int kDecimals = 3;
   return Poco::NumberFormatter::format(std::chrono::duration<double>(wait).count(), kDecimals);
--- a/Hallchute/src/Traffic/TrafficEngine.cpp
+++ b/Hallchute/src/Traffic/TrafficEngine.cpp
@@ -21,14 +21,16 @@
 
 constexpr Millis kSweepPeriod{500};
 constexpr double kPercent = 100;
-/// When a caller may come back to a daemon that knows no settings yet: a start takes about that.
-constexpr Millis kNotKnownYetWait{300};
-/// When a caller may come back that another daemon can serve at once.
-constexpr Millis kElsewhereWait{10};
-/// The part of an upstream's connections that daemons use together: some may be unknown.
-constexpr double kConnectionsUsed = 0.9;
-/// Even a large fleet's daemon needs a few connections to work at all.
-constexpr std::size_t kLeastConnections = 3;
+/// Retry-After of a daemon that has no settings yet, or possibly stale ones: about the duration of
+/// a start.
+constexpr Millis kNoSettingsRetryAfter{300};
+/// Retry-After of a daemon that is stopping: another daemon can serve the request at once.
+constexpr Millis kOtherDaemonRetryAfter{10};
+/// Fraction of an upstream's connection limit that the known daemons divide among them. The rest
+/// is reserved for daemons that this one has not discovered.
+constexpr double kAllocatedConnectionFraction = 0.9;
+/// Minimum connections per upstream; in a large fleet a daemon's share would be too small to work.
+constexpr std::size_t kMinConnections = 3;
 
 double quotaAmount(const GatewayOrganisation& organisation, const ClientRequest& request) {
   if (!organisation.countsTokens) return 1;
@@ -70,13 +72,13 @@
 
 void TrafficEngine::setUpstreams(std::span<const UpstreamRecord> records) {
   const Instant now = clockNow();
-  for (const UpstreamId& gone : upstreams_.replace(records, now)) {
-    const UpstreamEntry* entry = upstreams_.find(gone);
+  for (const UpstreamId& removed : upstreams_.replace(records, now)) {
+    const UpstreamEntry* entry = upstreams_.find(removed);
     const bool restarted = entry != nullptr && !entry->goneSince;
     LogLine(LogLevel::info, restarted ? "upstream.restarted" : "upstream.gone")
-        .with("upstream", gone.str())
+        .with("upstream", removed.str())
         .with("incarnation", entry == nullptr ? 0 : entry->record.incarnation);
-    pool_.forget(gone);
+    pool_.forget(removed);
   }
 }
 
@@ -84,11 +86,11 @@
   upstreams_.noteDraining(upstream.id, upstream.incarnation);
 }
 
-void TrafficEngine::setFleet(const FleetTold& told) {
-  daemons_ = std::max<std::size_t>(1, told.known);
-  clockOffset_ = told.clockOffset;
-  upstreams_.setLoadsElsewhere(told.loads);
-  quota_.setFleet(told.quota, clockNow());
+void TrafficEngine::setFleet(const FleetTold& view) {
+  daemonCount_ = std::max<std::size_t>(1, view.known);
+  clockOffset_ = view.clockOffset;
+  upstreams_.setLoadsElsewhere(view.loads);
+  quota_.setFleet(view.quota, clockNow());
 }
 
 void TrafficEngine::noteSpentElsewhere(const OrganisationName& organisation, double amount) {
@@ -109,7 +111,8 @@
   exchange.answer(status, fields, "");
 }
 
-void TrafficEngine::logShortage(const SessionAdmission& admission, const QuotaShortage& shortage) {
+void TrafficEngine::logQuotaShortage(const SessionAdmission& admission,
+                                     const QuotaShortage& shortage) {
   LogLine(LogLevel::info, "request.overQuota")
       .with("request", admission.request.id.str())
       .with("route", admission.route->name)
@@ -128,8 +131,8 @@
   if (!needsKey) return true;
   organisation = routes_->organisationOf(request.key);
   if (organisation != nullptr) return true;
-  if (settingsMayBeOld_) {
-    refuse(exchange, request, 503, "settingsOld", kNotKnownYetWait);
+  if (settingsMayBeStale_) {
+    refuse(exchange, request, 503, "settingsOld", kNoSettingsRetryAfter);
   } else {
     refuse(exchange, request, 401, "unknownKey", std::nullopt);
   }
@@ -140,18 +143,18 @@
   const Instant now = clockNow();
   const HttpHead& head = exchange->head();
   const ClientRequest request = codec_.readRequest(head);
-  if (refusing_) {
-    refuse(*exchange, request, 503, "stopping", kElsewhereWait);
+  if (refusingNewRequests_) {
+    refuse(*exchange, request, 503, "stopping", kOtherDaemonRetryAfter);
     return;
   }
   if (routes_ == nullptr) {
-    refuse(*exchange, request, 503, "noSettings", kNotKnownYetWait);
+    refuse(*exchange, request, 503, "noSettings", kNoSettingsRetryAfter);
     return;
   }
   const Route* route = routes_->find(head.fields.get("Host"), head.target);
   if (route == nullptr) {
-    if (settingsMayBeOld_) {
-      refuse(*exchange, request, 503, "settingsOld", kNotKnownYetWait);
+    if (settingsMayBeStale_) {
+      refuse(*exchange, request, 503, "settingsOld", kNoSettingsRetryAfter);
     } else {
       refuse(*exchange, request, 404, "noRoute", std::nullopt);
     }
@@ -166,31 +169,31 @@
     const std::optional<QuotaShortage> shortage =
         quota_.take(*organisation, admission.quotaTaken, now, draw);
     if (shortage) {
-      logShortage(admission, *shortage);
+      logQuotaShortage(admission, *shortage);
       refuse(*exchange, request, 429, "quota", shortage->comeBack);
       return;
     }
   }
-  const std::uint64_t id = nextSession_++;
+  const std::uint64_t id = nextSessionId_++;
   const auto session = std::make_shared<TrafficSession>(*this, id, exchange, std::move(admission));
   sessions_[id] = session;
-  retries_[session->service()].noteRequest(now);
+  retryWindows_[session->service()].noteRequest(now);
   session->begin();
 }
 
 std::size_t TrafficEngine::connectionShare(const ServiceName& service) const {
   const GatewayService* found = routes_->service(service);
   const double all = found == nullptr ? 0 : found->maxConnections;
-  const auto share =
-      static_cast<std::size_t>(all * kConnectionsUsed / static_cast<double>(daemons_));
-  return std::max(kLeastConnections, share);
+  const auto share = static_cast<std::size_t>(all * kAllocatedConnectionFraction /
+                                              static_cast<double>(daemonCount_));
+  return std::max(kMinConnections, share);
 }
 
 bool TrafficEngine::takeRepeat(const ServiceName& service, Instant now) {
-  return retries_[service].takeRepeat(options_.retries, daemons_, now);
+  return retryWindows_[service].takeRepeat(options_.retries, daemonCount_, now);
 }
 
-void TrafficEngine::giveBackQuota(const OrganisationName& organisation, double amount) {
+void TrafficEngine::refundQuota(const OrganisationName& organisation, double amount) {
   quota_.giveBack(organisation, amount);
 }
 
@@ -205,7 +208,7 @@
 void TrafficEngine::endSession(std::uint64_t session) {
   const auto it = sessions_.find(session);
   if (it == sessions_.end()) return;
-  // The call comes out of the session itself.
+  // The session itself makes this call, so its destruction is deferred until the call has returned.
   const std::shared_ptr<TrafficSession> ended = std::move(it->second);
   sessions_.erase(it);
   loop_.post([ended] {});
--- a/Hallchute/src/Traffic/TrafficEngine.h
+++ b/Hallchute/src/Traffic/TrafficEngine.h
@@ -33,17 +33,18 @@
 struct HttpHead;
 struct UpstreamWish;
 
-/// \brief What the other daemons told, as far as traffic needs it. \ingroup Traffic
+/// \brief State of the fleet that the traffic thread needs, from the reports of other daemons.
+/// \ingroup Traffic
 struct FleetTold {
-  /// Daemons that are likely to run, heard or not, this one included.
+  /// Estimated number of running daemons, including this one and those without a recent report.
   std::size_t known = 1;
   UpstreamLoads loads;
   QuotaFleet quota;
-  /// How far the wall clock that the daemons share is ahead of this host's monotonic one.
+  /// Offset of the fleet's shared wall clock from this host's monotonic clock.
   Millis clockOffset{0};
 };
 
-/// \brief Admits callers' requests and runs a session for each. Traffic thread only.
+/// \brief Admits callers' requests and runs a session for each. Used on the traffic thread only.
 /// \ingroup Traffic
 class TrafficEngine final : public FrontHandler {
  public:
@@ -53,20 +54,21 @@
 
   void handle(const std::shared_ptr<FrontExchange>& exchange) override;
 
-  /// \brief Puts settings in force; older ones than those in force are ignored.
+  /// \brief Applies settings, unless those in force have the same or a newer version.
   void setSettings(std::shared_ptr<const RouteTable> routes);
   void setUpstreams(std::span<const UpstreamRecord> records);
   void noteDraining(const UpstreamIncarnation& upstream);
-  /// \brief Whether newer settings may exist that this daemon can't hear of.
-  void setSettingsMayBeOld(bool old) { settingsMayBeOld_ = old; }
-  /// \brief From now on new requests are refused: they could not end before the daemon does.
-  void refuseNew() { refusing_ = true; }
-  void setFleet(const FleetTold& told);
+  /// \brief Sets whether newer settings may exist that this daemon cannot receive. While it is set,
+  /// unknown routes and keys are refused with 503 instead of 404 and 401.
+  void setSettingsMayBeOld(bool old) { settingsMayBeStale_ = old; }
+  /// \brief Refuses all new requests from now on: they could not complete before the daemon stops.
+  void refuseNew() { refusingNewRequests_ = true; }
+  void setFleet(const FleetTold& view);
   void noteSpentElsewhere(const OrganisationName& organisation, double amount);
   /// \brief Whether requests can be served.
   bool ready() const { return routes_ != nullptr && !upstreams_.entries().empty(); }
   std::size_t sessions() const { return sessions_.size(); }
-  /// \brief Time since the start of 1970 by the clock that the daemons share.
+  /// \brief Time since the Unix epoch on the fleet's shared clock.
   Millis wallClock(Instant now) const;
   const UsageLedger& usage() const { return usage_; }
   UsageLedger& usage() { return usage_; }
@@ -79,20 +81,21 @@
   const TrafficOptions& options() const { return options_; }
   Metrics& metrics() { return metrics_; }
   UpstreamPool& pool() { return pool_; }
-  UpstreamTable& table() { return upstreams_; }
+  UpstreamTable& upstreamTable() { return upstreams_; }
   /// \brief Connections that this daemon may open to one upstream of \p service.
   std::size_t connectionShare(const ServiceName& service) const;
   bool takeRepeat(const ServiceName& service, Instant now);
-  void giveBackQuota(const OrganisationName& organisation, double amount);
+  void refundQuota(const OrganisationName& organisation, double amount);
   void noteRun(const OrganisationName& organisation);
   void endSession(std::uint64_t session);
 
  private:
   void refuse(FrontExchange& exchange, const ClientRequest& request, int status,
               std::string_view reason, std::optional<Millis> retryAfter);
-  /// What decided a refusal above a quota: its line precedes that of the refusal.
-  void logShortage(const SessionAdmission& admission, const QuotaShortage& shortage);
-  /// \returns whether the request may go on; \p organisation stays null on open routes.
+  /// Logs the quota state behind a refusal, immediately before the refusal itself is logged.
+  void logQuotaShortage(const SessionAdmission& admission, const QuotaShortage& shortage);
+  /// Refuses the request if it needs a valid key and has none.
+  /// \returns whether the request is authorised; \p organisation stays null on open routes.
   bool authorise(FrontExchange& exchange, const ClientRequest& request, const Route& route,
                  const GatewayOrganisation*& organisation);
   void sweep();
@@ -106,13 +109,13 @@
   std::shared_ptr<const RouteTable> routes_;
   QuotaLedger quota_;
   UsageLedger usage_;
-  std::map<ServiceName, RetryWindow> retries_;
+  std::map<ServiceName, RetryWindow> retryWindows_;
   std::unordered_map<std::uint64_t, std::shared_ptr<TrafficSession>> sessions_;
-  std::uint64_t nextSession_ = 1;
-  std::size_t daemons_ = 1;
+  std::uint64_t nextSessionId_ = 1;
+  std::size_t daemonCount_ = 1;
   Millis clockOffset_{0};
-  bool settingsMayBeOld_ = false;
-  bool refusing_ = false;
+  bool settingsMayBeStale_ = false;
+  bool refusingNewRequests_ = false;
 };
 
 }  // namespace Hallchute
--- a/Hallchute/src/Traffic/TrafficOptions.h
+++ b/Hallchute/src/Traffic/TrafficOptions.h
@@ -13,14 +13,14 @@
 
 namespace Hallchute {
 
-/// \brief What the traffic thread is told at start. \ingroup Traffic
+/// \brief Startup options of the traffic thread. \ingroup Traffic
 struct TrafficOptions {
   DomainName domain;
-  /// Connections to upstreams leave from it.
+  /// Source address of connections to upstreams.
   std::string ownIp;
   RetryAllowance retries;
   QuotaTolerance quotas;
-  /// The length of a usage window.
+  /// Length of a usage window.
   Millis usageWindow{5'000};
 };
 
--- a/Hallchute/src/Traffic/TrafficSession.cpp
+++ b/Hallchute/src/Traffic/TrafficSession.cpp
@@ -21,25 +21,27 @@
 namespace Hallchute {
 namespace {
 
-/// When to come back after a refusal: about the time in which a crashed upstream is passed over
-/// and a full one has taken from its queue.
-constexpr Millis kComeBack{100};
-/// How many latency objectives an upstream may be silent before a request that may repeat goes
-/// elsewhere: beyond twice the objective the answer is late whatever comes.
-constexpr double kSilentObjectives = 2.0;
-/// How many pause objectives a started stream may be silent before it goes on elsewhere, and the
-/// least time: an engine that sets a request aside for a while must not lose it.
-constexpr double kSilentPauses = 3.0;
-constexpr Millis kLeastPause{1'200};
-/// After this a request that was sent has usually begun to run: a stream with its first token,
-/// which engines make some 100 ms after they take it up, a plain one at once.
-constexpr Millis kStreamBegins{150};
-constexpr Millis kPlainBegins{3};
-/// The most of the remaining time that is given to a silent upstream.
-constexpr double kSilentPart = 0.4;
-/// Shared tokens below this are read anew: reading a thousand takes an engine some 30 ms, and
-/// setting up a copy about 5 ms besides the work that it holds up at the source.
-constexpr std::uint64_t kLeastCopied = 1'000;
+/// Retry-After of a refusal: about the time until a crashed upstream is excluded from selection
+/// and a full one has accepted requests from its queue.
+constexpr Millis kRefusalRetryAfter{100};
+/// Time without output, in latency objectives, after which a repeatable request is sent to another
+/// upstream. Beyond twice the objective the answer is late in any case.
+constexpr double kResponseTimeoutObjectives = 2.0;
+/// Time without output, in pause objectives, after which a started stream is resumed on another
+/// upstream. The minimum keeps the stream on an engine that preempts its request for a short time.
+constexpr double kStallTimeoutObjectives = 3.0;
+constexpr Millis kMinStallTimeout{1'200};
+/// Time after dispatch at which a request has usually started to run. A stream starts with its
+/// first token, which engines produce about 100 ms after scheduling it; a plain request starts at
+/// once.
+constexpr Millis kStreamStartDelay{150};
+constexpr Millis kPlainStartDelay{3};
+/// Maximum fraction of the remaining time to wait for an upstream that sends nothing.
+constexpr double kMaxSilentFraction = 0.4;
+/// Minimum number of shared tokens for copying their cache from another upstream; fewer are
+/// recomputed. An engine takes about 30 ms to prefill 1000 tokens. Setting up a copy takes about
+/// 5 ms and also delays work at the source.
+constexpr std::uint64_t kMinCopiedTokens = 1'000;
 constexpr int kServerError = 500;
 constexpr int kBadGateway = 502;
 constexpr int kUnavailable = 503;
@@ -49,7 +51,7 @@
   return status >= 200 && status < 300;
 }
 
-/// What requests share: the last part of the prompt is the request's or its session's own.
+/// Id of the last shared prompt part: the final part is specific to the request or its session.
 std::string affinityOf(const ClientRequest& request) {
   const std::size_t parts = request.prompt.size();
   if (parts == 0) return {};
@@ -62,7 +64,7 @@
   return tokens;
 }
 
-Millis limitOf(const Route& route, const ClientRequest& request) {
+Millis timeLimitOf(const Route& route, const ClientRequest& request) {
   return std::min(route.timeLimit, request.deadline.value_or(route.timeLimit));
 }
 
@@ -75,16 +77,16 @@
       exchange_(std::move(exchange)),
       admission_(std::move(admission)),
       service_(RouteTable::pickTarget(*admission_.route, admission_.request.id.str())),
-      course_(
+      relay_(
           {admission_.route->mayRepeat(), admission_.route->resumable, admission_.route->maxRuns}),
-      deadline_(exchange_->arrived() + limitOf(*admission_.route, admission_.request)) {
-  wish_.service = service_;
+      deadline_(exchange_->arrived() + timeLimitOf(*admission_.route, admission_.request)) {
+  selection_.service = service_;
   if (admission_.route->sharesPrompts) {
-    wish_.affinity = affinityOf(admission_.request);
-    wish_.sharedTokens = sharedTokens(admission_.request);
+    selection_.affinity = affinityOf(admission_.request);
+    selection_.sharedTokens = sharedTokens(admission_.request);
   }
-  wish_.ownDomain = engine_.options().domain;
-  wish_.requestId = admission_.request.id.str();
+  selection_.ownDomain = engine_.options().domain;
+  selection_.requestId = admission_.request.id.str();
 }
 
 TrafficSession::~TrafficSession() {
@@ -93,14 +95,14 @@
 
 void TrafficSession::begin() {
   exchange_->onCallerLeft = [weak = weak_from_this()] {
-    if (const auto session = weak.lock()) session->take(RelayEvents::CallerLeft{});
+    if (const auto session = weak.lock()) session->handleEvent(RelayEvents::CallerLeft{});
   };
   const Millis left = remaining();
   deadlineTimer_ = engine_.loop().after(left, [this] {
     deadlineTimer_ = 0;
-    take(RelayEvents::TimeUp{});
+    handleEvent(RelayEvents::TimeUp{});
   });
-  take(RelayEvents::Begin{});
+  handleEvent(RelayEvents::Begin{});
 }
 
 Millis TrafficSession::remaining() const {
@@ -113,43 +115,44 @@
   engine_.loop().cancel(std::exchange(silenceTimer_, 0));
 }
 
-void TrafficSession::take(const RelayEvent& event) {
-  const bool ended = course_.ended();
-  for (const RelayAction& action : course_.step(event)) {
+void TrafficSession::handleEvent(const RelayEvent& event) {
+  const bool ended = relay_.ended();
+  for (const RelayAction& action : relay_.step(event)) {
     std::visit([this](const auto& a) { perform(a); }, action);
   }
-  if (!ended && course_.ended() && std::holds_alternative<RelayEvents::CallerLeft>(event)) {
+  if (!ended && relay_.ended() && std::holds_alternative<RelayEvents::CallerLeft>(event)) {
     finish("callerLeft", 0);
   }
 }
 
 void TrafficSession::perform(const RelayActions::Dispatch& action) {
   const Instant now = clockNow();
-  const UpstreamEntry* upstream = pickUpstream(engine_.table(), wish_, now);
+  const UpstreamEntry* upstream = pickUpstream(engine_.upstreamTable(), selection_, now);
   if (upstream == nullptr || remaining() <= Millis(0)) {
-    take(RelayEvents::NobodyToAsk{});
+    handleEvent(RelayEvents::NobodyToAsk{});
     return;
   }
   if (action.repeat && !engine_.takeRepeat(service_, now)) {
     LogLine(LogLevel::info, "request.retryDenied")
-        .with("request", wish_.requestId)
+        .with("request", selection_.requestId)
         .with("service", service_.str());
-    take(RelayEvents::NobodyToAsk{});
+    handleEvent(RelayEvents::NobodyToAsk{});
     return;
   }
-  if (!sendTo(*upstream, action.resume)) take(RelayEvents::NotSent{});
+  if (!dispatchTo(*upstream, action.resume)) handleEvent(RelayEvents::NotSent{});
 }
 
 std::string TrafficSession::cacheSourceFor(const UpstreamEntry& chosen) const {
-  if (wish_.affinity.empty() || wish_.sharedTokens < kLeastCopied) return {};
-  const UpstreamEntry* source = cacheSource(engine_.table(), wish_, chosen, clockNow());
+  if (selection_.affinity.empty() || selection_.sharedTokens < kMinCopiedTokens) return {};
+  const UpstreamEntry* source =
+      cacheSource(engine_.upstreamTable(), selection_, chosen, clockNow());
   return source == nullptr ? std::string() : source->record.address;
 }
 
-bool TrafficSession::sendTo(const UpstreamEntry& upstream, bool resume) {
+bool TrafficSession::dispatchTo(const UpstreamEntry& upstream, bool resume) {
   const Instant now = clockNow();
   const UpstreamId id = upstream.record.id;
-  wish_.tried.insert(id);
+  selection_.tried.insert(id);
   const ChannelCare care = admission_.route->mayRepeat() ? ChannelCare::any : ChannelCare::sure;
   channel_ = engine_.pool().take(id, upstream.record.address, care,
                                  engine_.connectionShare(service_), now);
@@ -170,33 +173,37 @@
   upstreamIncarnation_ = upstream.record.incarnation;
   dispatched_ = true;
   dispatchedAt_ = now;
-  ++dispatches_;
+  ++dispatchCount_;
   splitter_ = {};
-  answerWhole_ = false;
-  unreadTokens_ = admission_.request.promptTokens.value_or(0);
-  engine_.table().noteDispatched(id, unreadTokens_);
-  startSilenceTimer();
+  answerComplete_ = false;
+  prefillTokens_ = admission_.request.promptTokens.value_or(0);
+  engine_.upstreamTable().noteDispatched(id, prefillTokens_);
+  restartSilenceTimer();
   channel_->start(requestBytes(head.method, head.target, fields, exchange_->body()),
                   head.method == "HEAD", *this);
   return true;
 }
 
-void TrafficSession::startSilenceTimer() {
+void TrafficSession::restartSilenceTimer() {
   engine_.loop().cancel(std::exchange(silenceTimer_, 0));
   if (!admission_.route->mayRepeat()) return;
-  using Real = std::chrono::duration<double, std::milli>;
+  using RealMillis = std::chrono::duration<double, std::milli>;
   const Route& route = *admission_.route;
-  const Real first = Real(route.latencyObjective) * kSilentObjectives;
-  const Real pause = std::max(Real(kLeastPause), Real(route.pauseObjective) * kSilentPauses);
-  const Real objective = course_.started() ? pause : first;
-  const Real part = Real(remaining()) * kSilentPart;
-  const auto patience = std::chrono::duration_cast<Millis>(std::min(objective, part));
-  silenceTimer_ = engine_.loop().after(patience, [this] {
+  const RealMillis responseTimeout =
+      RealMillis(route.latencyObjective) * kResponseTimeoutObjectives;
+  const RealMillis stallTimeout = std::max(
+      RealMillis(kMinStallTimeout), RealMillis(route.pauseObjective) * kStallTimeoutObjectives);
+  const RealMillis objectiveTimeout = relay_.started() ? stallTimeout : responseTimeout;
+  const RealMillis deadlineTimeout = RealMillis(remaining()) * kMaxSilentFraction;
+  const auto timeout =
+      std::chrono::duration_cast<Millis>(std::min(objectiveTimeout, deadlineTimeout));
+  silenceTimer_ = engine_.loop().after(timeout, [this] {
     silenceTimer_ = 0;
-    // One place only may be left; the course decides whether going elsewhere is allowed.
-    UpstreamWish elsewhere = wish_;
-    if (pickUpstream(engine_.table(), elsewhere, clockNow()) == nullptr) return;
-    take(RelayEvents::Silent{});
+    // Keep waiting if no other upstream is available. The relay decides whether the request may be
+    // sent to another one.
+    UpstreamWish otherSelection = selection_;
+    if (pickUpstream(engine_.upstreamTable(), otherSelection, clockNow()) == nullptr) return;
+    handleEvent(RelayEvents::Silent{});
   });
 }
 
@@ -204,7 +211,7 @@
   answer_ = engine_.codec().readAnswer(head);
   if (!answer_.notExecuted && !answer_.otherUpstream && answer_.id != admission_.request.id) {
     LogLine(LogLevel::warning, "upstream.foreignAnswer")
-        .with("request", wish_.requestId)
+        .with("request", selection_.requestId)
         .with("upstream", upstream_.str())
         .with("answersRequest", answer_.id.str());
     return false;
@@ -224,102 +231,103 @@
     return;
   }
   splitter_.add(bytes);
-  passEvents();
+  forwardEvents();
 }
 
-void TrafficSession::passEvents() {
-  while (dispatched_ && !course_.ended()) {
+void TrafficSession::forwardEvents() {
+  while (dispatched_ && !relay_.ended()) {
     std::optional<StreamEvent> event = splitter_.next();
     if (!event) return;
-    noteRunBegan();
-    if (alreadyPassed(*event)) continue;
-    piece_ = std::move(*event);
-    take(RelayEvents::Piece{});
-    if (!course_.ended()) startSilenceTimer();
+    recordRunStart();
+    if (alreadyForwarded(*event)) continue;
+    event_ = std::move(*event);
+    handleEvent(RelayEvents::Piece{});
+    if (!relay_.ended()) restartSilenceTimer();
   }
 }
 
-/// A run that goes on after an event may begin with events from before it.
-bool TrafficSession::alreadyPassed(const StreamEvent& event) const {
+/// A resumed run may repeat events that precede the one it was resumed after.
+bool TrafficSession::alreadyForwarded(const StreamEvent& event) const {
   std::uint64_t last = 0;
   std::uint64_t id = 0;
   return absl::SimpleAtoi(lastEventId_, &last) && absl::SimpleAtoi(event.id, &id) && id <= last;
 }
 
-void TrafficSession::noteRunBegan() {
+void TrafficSession::recordRunStart() {
   notePromptDone();
   if (std::exchange(runCounted_, true)) return;
-  if (!firstPieceAt_) firstPieceAt_ = clockNow();
+  if (!firstOutputAt_) firstOutputAt_ = clockNow();
   if (admission_.organisation != nullptr) engine_.noteRun(admission_.organisation->name);
 }
 
 void TrafficSession::notePromptDone() {
-  engine_.table().notePromptDone(upstream_, std::exchange(unreadTokens_, 0), upstreamIncarnation_);
+  engine_.upstreamTable().notePromptDone(upstream_, std::exchange(prefillTokens_, 0),
+                                         upstreamIncarnation_);
 }
 
 void TrafficSession::upstreamDone() {
   if (answer_.notExecuted || answer_.otherUpstream) {
     LogLine(LogLevel::info, "upstream.rejected")
-        .with("request", wish_.requestId)
+        .with("request", selection_.requestId)
         .with("upstream", upstream_.str())
         .with("status", answerHead_.status);
-    if (answer_.otherUpstream) engine_.table().noteReplaced(upstream_, clockNow());
+    if (answer_.otherUpstream) engine_.upstreamTable().noteReplaced(upstream_, clockNow());
     endDispatch(DispatchResult::rejected, !answer_.otherUpstream);
-    take(RelayEvents::NotExecuted{});
+    handleEvent(RelayEvents::NotExecuted{});
     return;
   }
   if (answerIsStream_) {
-    // An answer that only the connection's end completes may have been cut within an event.
-    const bool whole = !answerHead_.endsWithConnection || splitter_.rest().empty();
-    if (!whole) {
+    // An answer delimited by the end of the connection may have been truncated within an event.
+    const bool complete = !answerHead_.endsWithConnection || splitter_.rest().empty();
+    if (!complete) {
       upstreamFailed(true);
       return;
     }
     endDispatch(DispatchResult::answered, true);
-    answerWhole_ = true;
-    piece_ = {splitter_.rest(), ""};
-    if (!piece_.bytes.empty()) take(RelayEvents::Piece{});
-    take(RelayEvents::Whole{});
+    answerComplete_ = true;
+    event_ = {splitter_.rest(), ""};
+    if (!event_.bytes.empty()) handleEvent(RelayEvents::Piece{});
+    handleEvent(RelayEvents::Whole{});
     return;
   }
-  noteRunBegan();
-  // A started stream goes on as a stream or not at all.
-  if (!answer_.authentic || course_.started()) {
+  recordRunStart();
+  // A started stream can only be continued by another stream.
+  if (!answer_.authentic || relay_.started()) {
     upstreamFailed(true);
     return;
   }
   const bool failed = answerHead_.status >= kServerError;
   endDispatch(failed ? DispatchResult::failed : DispatchResult::answered, true);
-  answerWhole_ = true;
+  answerComplete_ = true;
   if (failed) {
-    spareHead_ = answerHead_;
-    spareBody_ = answerBody_;
+    fallbackHead_ = answerHead_;
+    fallbackBody_ = answerBody_;
   }
-  take(RelayEvents::Whole{!failed});
+  handleEvent(RelayEvents::Whole{!failed});
 }
 
 void TrafficSession::upstreamFailed(bool sent) {
   LogLine(LogLevel::info, "upstream.failed")
-      .with("request", wish_.requestId)
+      .with("request", selection_.requestId)
       .with("upstream", upstream_.str())
       .with("sent", sent)
-      .with("started", course_.started())
+      .with("started", relay_.started())
       .with("afterMs", std::chrono::duration_cast<Millis>(clockNow() - dispatchedAt_));
   endDispatch(sent ? DispatchResult::broken : DispatchResult::unreachable, false);
   if (sent) {
-    take(RelayEvents::Broken{});
+    handleEvent(RelayEvents::Broken{});
   } else {
-    take(RelayEvents::NotSent{});
+    handleEvent(RelayEvents::NotSent{});
   }
 }
 
 void TrafficSession::endDispatch(DispatchResult result, bool keepChannel) {
   if (!std::exchange(dispatched_, false)) return;
-  noteLostRun(result);
+  recordUnansweredRun(result);
   notePromptDone();
   engine_.loop().cancel(std::exchange(silenceTimer_, 0));
   const Instant now = clockNow();
-  engine_.table().noteEnded(upstream_, result, now, upstreamIncarnation_);
+  engine_.upstreamTable().noteEnded(upstream_, result, now, upstreamIncarnation_);
   engine_.metrics().time("hallchute_dispatch_ms", "service=\"" + service_.str() + "\"",
                          now - dispatchedAt_);
   if (keepChannel) {
@@ -329,20 +337,21 @@
   }
 }
 
-/// A run whose answer never came may count too, if the upstream had the time to begin it.
-void TrafficSession::noteLostRun(DispatchResult result) {
+/// Counts a run without an answer if the upstream had enough time to start it.
+void TrafficSession::recordUnansweredRun(DispatchResult result) {
   if (result == DispatchResult::rejected || result == DispatchResult::unreachable) return;
   if (runCounted_ || admission_.organisation == nullptr) return;
   const bool stream = admission_.route->kind == WorkKind::stream;
   const Millis waited = std::chrono::duration_cast<Millis>(clockNow() - dispatchedAt_);
-  // A cut holds the request up; the connection ends with a reset, which drops it.
+  // During a network partition the request is not delivered; resetting the connection discards it.
   const bool delivered = channel_ == nullptr || channel_->delivered();
-  // A stream that this side gave up was still waiting: an engine that is behind has begun none of
-  // those, and drops them with their connections.
-  const bool waiting = stream && result != DispatchResult::broken;
-  runCounted_ = delivered && !waiting && waited >= (stream ? kStreamBegins : kPlainBegins);
+  // A stream that this side cancelled was still queued: an overloaded engine has not started it and
+  // discards it when the connection closes.
+  const bool notStarted = stream && result != DispatchResult::broken;
+  runCounted_ =
+      delivered && !notStarted && waited >= (stream ? kStreamStartDelay : kPlainStartDelay);
   LogLine(LogLevel::info, "upstream.unanswered")
-      .with("request", wish_.requestId)
+      .with("request", selection_.requestId)
       .with("upstream", upstream_.str())
       .with("result", describe(result))
       .with("waitedMs", waited)
@@ -352,11 +361,11 @@
 }
 
 void TrafficSession::perform(const RelayActions::Cancel&) {
-  const bool silent = !course_.ended();
+  const bool silent = !relay_.ended();
   endDispatch(silent ? DispatchResult::silent : DispatchResult::abandoned, false);
 }
 
-HttpFields TrafficSession::passedFields(const HttpHead& head) {
+HttpFields TrafficSession::forwardedFields(const HttpHead& head) {
   HttpFields fields = head.fields;
   removeHopByHop(fields);
   fields.erase("Content-Length");
@@ -364,9 +373,9 @@
 }
 
 void TrafficSession::perform(const RelayActions::PassPiece& action) {
-  if (action.first) exchange_->startPieces(answerHead_.status, passedFields(answerHead_));
-  if (!piece_.id.empty()) lastEventId_ = piece_.id;
-  exchange_->sendPiece(piece_.bytes);
+  if (action.first) exchange_->startPieces(answerHead_.status, forwardedFields(answerHead_));
+  if (!event_.id.empty()) lastEventId_ = event_.id;
+  exchange_->sendPiece(event_.bytes);
 }
 
 void TrafficSession::perform(const RelayActions::PassEnd&) {
@@ -375,17 +384,18 @@
 }
 
 void TrafficSession::perform(const RelayActions::PassWhole&) {
-  const HttpHead& head = answerWhole_ ? answerHead_ : spareHead_;
-  exchange_->answer(head.status, passedFields(head), answerWhole_ ? answerBody_ : spareBody_);
+  const HttpHead& head = answerComplete_ ? answerHead_ : fallbackHead_;
+  exchange_->answer(head.status, forwardedFields(head),
+                    answerComplete_ ? answerBody_ : fallbackBody_);
   finish("answered", head.status);
 }
 
 void TrafficSession::perform(const RelayActions::Refuse&) {
   if (admission_.organisation != nullptr) {
-    engine_.giveBackQuota(admission_.organisation->name, admission_.quotaTaken);
+    engine_.refundQuota(admission_.organisation->name, admission_.quotaTaken);
   }
   HttpFields fields;
-  fields.add("Retry-After", retryAfterText(kComeBack));
+  fields.add("Retry-After", retryAfterText(kRefusalRetryAfter));
   exchange_->answer(kUnavailable, fields, "");
   finish("refused", kUnavailable);
 }
@@ -405,15 +415,15 @@
   stopTimers();
   const Instant now = clockNow();
   const auto total = std::chrono::duration_cast<Millis>(now - exchange_->arrived());
-  const auto first = firstPieceAt_.value_or(now) - exchange_->arrived();
+  const auto first = firstOutputAt_.value_or(now) - exchange_->arrived();
   LogLine(LogLevel::info, "request.end")
-      .with("request", wish_.requestId)
+      .with("request", selection_.requestId)
       .with("route", admission_.route->name)
       .with("service", service_.str())
       .with("outcome", outcome)
       .with("status", status)
       .with("upstream", upstream_.str())
-      .with("dispatches", dispatches_)
+      .with("dispatches", dispatchCount_)
       .with("settings", admission_.routes->settings().version)
       .with("organisation", admission_.organisation == nullptr
                                 ? std::string()
--- a/Hallchute/src/Traffic/TrafficSession.h
+++ b/Hallchute/src/Traffic/TrafficSession.h
@@ -22,9 +22,9 @@
 class FrontExchange;
 class TrafficEngine;
 
-/// \brief A request that was admitted, and under which settings. \ingroup Traffic
+/// \brief An admitted request and the settings that it was admitted under. \ingroup Traffic
 struct SessionAdmission {
-  /// Keeps `route` and `organisation` alive when settings change meanwhile.
+  /// Keeps `route` and `organisation` alive if the settings change during the request.
   std::shared_ptr<const RouteTable> routes;
   const Route* route = nullptr;
   /// Null on open routes.
@@ -33,7 +33,8 @@
   double quotaTaken = 0;
 };
 
-/// \brief One admitted request with its connections: carries out what RelayCourse decides.
+/// \brief Runs one admitted request: passes its events to the relay's state machine and performs
+/// the resulting actions.
 /// \ingroup Traffic
 class TrafficSession final : public UpstreamListener,
                              public std::enable_shared_from_this<TrafficSession> {
@@ -51,7 +52,7 @@
   void upstreamFailed(bool sent) override;
 
  private:
-  void take(const RelayEvent& event);
+  void handleEvent(const RelayEvent& event);
   void perform(const RelayActions::Dispatch& action);
   void perform(const RelayActions::Cancel& action);
   void perform(const RelayActions::PassPiece& action);
@@ -62,26 +63,26 @@
   void perform(const RelayActions::BreakOff& action);
 
   std::string cacheSourceFor(const UpstreamEntry& chosen) const;
-  bool sendTo(const UpstreamEntry& upstream, bool resume);
-  void passEvents();
-  void noteRunBegan();
+  bool dispatchTo(const UpstreamEntry& upstream, bool resume);
+  void forwardEvents();
+  void recordRunStart();
   void notePromptDone();
-  void noteLostRun(DispatchResult result);
+  void recordUnansweredRun(DispatchResult result);
   void endDispatch(DispatchResult result, bool keepChannel);
-  void startSilenceTimer();
+  void restartSilenceTimer();
   void stopTimers();
   void finish(std::string_view outcome, int status);
   Millis remaining() const;
-  static HttpFields passedFields(const HttpHead& head);
-  bool alreadyPassed(const StreamEvent& event) const;
+  static HttpFields forwardedFields(const HttpHead& head);
+  bool alreadyForwarded(const StreamEvent& event) const;
 
   TrafficEngine& engine_;
   std::uint64_t id_;
   std::shared_ptr<FrontExchange> exchange_;
   SessionAdmission admission_;
   ServiceName service_;
-  UpstreamWish wish_;
-  RelayCourse course_;
+  UpstreamWish selection_;
+  RelayCourse relay_;
   Instant deadline_;
 
   std::unique_ptr<UpstreamChannel> channel_;
@@ -89,22 +90,22 @@
   std::uint64_t upstreamIncarnation_ = 0;
   bool dispatched_ = false;
   bool runCounted_ = false;
-  /// Tokens that the upstream still has to read before its answer begins.
-  std::uint64_t unreadTokens_ = 0;
-  int dispatches_ = 0;
+  /// Prompt tokens that the upstream has yet to process before its answer starts.
+  std::uint64_t prefillTokens_ = 0;
+  int dispatchCount_ = 0;
   Instant dispatchedAt_{};
-  std::optional<Instant> firstPieceAt_;
+  std::optional<Instant> firstOutputAt_;
 
   UpstreamAnswer answer_;
   HttpHead answerHead_;
   std::string answerBody_;
   bool answerIsStream_ = false;
-  bool answerWhole_ = false;
-  /// A whole answer that says failure, kept while another upstream is asked.
-  HttpHead spareHead_;
-  std::string spareBody_;
+  bool answerComplete_ = false;
+  /// Complete error response, kept as a fallback while the request is retried on another upstream.
+  HttpHead fallbackHead_;
+  std::string fallbackBody_;
   EventSplitter splitter_;
-  StreamEvent piece_;
+  StreamEvent event_;
   std::string lastEventId_;
 
   std::uint64_t deadlineTimer_ = 0;
