--- a/Hallchute/src/Traffic/TrafficEngine.cpp
+++ b/Hallchute/src/Traffic/TrafficEngine.cpp
@@ -34,7 +34,7 @@
 
 double quotaAmount(const GatewayOrganisation& organisation, const ClientRequest& request) {
   if (!organisation.countsTokens) return 1;
-  if (!request.promptTokens) return static_cast<double>(organisation.plainTokens);
+  if (!request.promptTokens) return static_cast<double>(organisation.defaultTokens);
   return static_cast<double>(*request.promptTokens + request.maxOutputTokens);
 }
 
@@ -74,7 +74,7 @@
   const Instant now = clockNow();
   for (const UpstreamId& removed : upstreams_.replace(records, now)) {
     const UpstreamEntry* entry = upstreams_.find(removed);
-    const bool restarted = entry != nullptr && !entry->goneSince;
+    const bool restarted = entry != nullptr && !entry->unlistedSince;
     LogLine(LogLevel::info, restarted ? "upstream.restarted" : "upstream.gone")
         .with("upstream", removed.str())
         .with("incarnation", entry == nullptr ? 0 : entry->record.incarnation);
@@ -89,7 +89,7 @@
 void TrafficEngine::setFleet(const FleetTold& view) {
   daemonCount_ = std::max<std::size_t>(1, view.known);
   clockOffset_ = view.clockOffset;
-  upstreams_.setLoadsElsewhere(view.loads);
+  upstreams_.setPeerLoads(view.loads);
   quota_.setFleet(view.quota, clockNow());
 }
 
@@ -120,14 +120,14 @@
       .with("asked", static_cast<std::uint64_t>(admission.quotaTaken))
       .with("needed", static_cast<std::uint64_t>(shortage.needed))
       .with("level", static_cast<std::int64_t>(shortage.level))
-      .with("unheard", static_cast<std::uint64_t>(shortage.unheard))
-      .with("heardPercent", static_cast<std::uint64_t>(quota_.fleet().heardPart * kPercent))
-      .with("meeting", quota_.fleet().meeting);
+      .with("unheard", static_cast<std::uint64_t>(shortage.unreported))
+      .with("heardPercent", static_cast<std::uint64_t>(quota_.fleet().liveFraction * kPercent))
+      .with("meeting", quota_.fleet().discovering);
 }
 
 bool TrafficEngine::authorise(FrontExchange& exchange, const ClientRequest& request,
                               const Route& route, const GatewayOrganisation*& organisation) {
-  const bool needsKey = !route.open && !routes_->settings().organisations.empty();
+  const bool needsKey = !route.allowsAnonymous && !routes_->settings().organisations.empty();
   if (!needsKey) return true;
   organisation = routes_->organisationOf(request.key);
   if (organisation != nullptr) return true;
@@ -170,7 +170,7 @@
         quota_.take(*organisation, admission.quotaTaken, now, draw);
     if (shortage) {
       logQuotaShortage(admission, *shortage);
-      refuse(*exchange, request, 429, "quota", shortage->comeBack);
+      refuse(*exchange, request, 429, "quota", shortage->retryDelay);
       return;
     }
   }
@@ -194,7 +194,7 @@
 }
 
 void TrafficEngine::refundQuota(const OrganisationName& organisation, double amount) {
-  quota_.giveBack(organisation, amount);
+  quota_.refund(organisation, amount);
 }
 
 void TrafficEngine::noteRun(const OrganisationName& organisation) {
--- a/Hallchute/src/Traffic/TrafficEngine.h
+++ b/Hallchute/src/Traffic/TrafficEngine.h
@@ -31,7 +31,7 @@
 struct SessionAdmission;
 struct ClientRequest;
 struct HttpHead;
-struct UpstreamWish;
+struct UpstreamCriteria;
 
 /// \brief State of the fleet that the traffic thread needs, from the reports of other daemons.
 /// \ingroup Traffic
--- a/Hallchute/src/Traffic/TrafficSession.cpp
+++ b/Hallchute/src/Traffic/TrafficSession.cpp
@@ -95,12 +95,12 @@
 
 void TrafficSession::begin() {
   exchange_->onCallerLeft = [weak = weak_from_this()] {
-    if (const auto session = weak.lock()) session->handleEvent(RelayEvents::CallerLeft{});
+    if (const auto session = weak.lock()) session->handleEvent(RelayEvents::CallerDisconnected{});
   };
   const Millis left = remaining();
   deadlineTimer_ = engine_.loop().after(left, [this] {
     deadlineTimer_ = 0;
-    handleEvent(RelayEvents::TimeUp{});
+    handleEvent(RelayEvents::DeadlineExceeded{});
   });
   handleEvent(RelayEvents::Begin{});
 }
@@ -120,7 +120,7 @@
   for (const RelayAction& action : relay_.step(event)) {
     std::visit([this](const auto& a) { perform(a); }, action);
   }
-  if (!ended && relay_.ended() && std::holds_alternative<RelayEvents::CallerLeft>(event)) {
+  if (!ended && relay_.ended() && std::holds_alternative<RelayEvents::CallerDisconnected>(event)) {
     finish("callerLeft", 0);
   }
 }
@@ -129,14 +129,14 @@
   const Instant now = clockNow();
   const UpstreamEntry* upstream = pickUpstream(engine_.upstreamTable(), selection_, now);
   if (upstream == nullptr || remaining() <= Millis(0)) {
-    handleEvent(RelayEvents::NobodyToAsk{});
+    handleEvent(RelayEvents::NoUpstreamAvailable{});
     return;
   }
-  if (action.repeat && !engine_.takeRepeat(service_, now)) {
+  if (action.retry && !engine_.takeRepeat(service_, now)) {
     LogLine(LogLevel::info, "request.retryDenied")
         .with("request", selection_.requestId)
         .with("service", service_.str());
-    handleEvent(RelayEvents::NobodyToAsk{});
+    handleEvent(RelayEvents::NoUpstreamAvailable{});
     return;
   }
   if (!dispatchTo(*upstream, action.resume)) handleEvent(RelayEvents::NotSent{});
@@ -192,7 +192,7 @@
   const RealMillis responseTimeout =
       RealMillis(route.latencyObjective) * kResponseTimeoutObjectives;
   const RealMillis stallTimeout = std::max(
-      RealMillis(kMinStallTimeout), RealMillis(route.pauseObjective) * kStallTimeoutObjectives);
+      RealMillis(kMinStallTimeout), RealMillis(route.gapObjective) * kStallTimeoutObjectives);
   const RealMillis objectiveTimeout = relay_.started() ? stallTimeout : responseTimeout;
   const RealMillis deadlineTimeout = RealMillis(remaining()) * kMaxSilentFraction;
   const auto timeout =
@@ -201,9 +201,9 @@
     silenceTimer_ = 0;
     // Keep waiting if no other upstream is available. The relay decides whether the request may be
     // sent to another one.
-    UpstreamWish otherSelection = selection_;
+    UpstreamCriteria otherSelection = selection_;
     if (pickUpstream(engine_.upstreamTable(), otherSelection, clockNow()) == nullptr) return;
-    handleEvent(RelayEvents::Silent{});
+    handleEvent(RelayEvents::UpstreamSilent{});
   });
 }
 
@@ -241,7 +241,7 @@
     recordRunStart();
     if (alreadyForwarded(*event)) continue;
     event_ = std::move(*event);
-    handleEvent(RelayEvents::Piece{});
+    handleEvent(RelayEvents::StreamEventReceived{});
     if (!relay_.ended()) restartSilenceTimer();
   }
 }
@@ -271,23 +271,23 @@
         .with("request", selection_.requestId)
         .with("upstream", upstream_.str())
         .with("status", answerHead_.status);
-    if (answer_.otherUpstream) engine_.upstreamTable().noteReplaced(upstream_, clockNow());
+    if (answer_.otherUpstream) engine_.upstreamTable().noteAddressReused(upstream_, clockNow());
     endDispatch(DispatchResult::rejected, !answer_.otherUpstream);
     handleEvent(RelayEvents::NotExecuted{});
     return;
   }
   if (answerIsStream_) {
     // An answer delimited by the end of the connection may have been truncated within an event.
-    const bool complete = !answerHead_.endsWithConnection || splitter_.rest().empty();
+    const bool complete = !answerHead_.endsWithConnection || splitter_.incompleteEvent().empty();
     if (!complete) {
       upstreamFailed(true);
       return;
     }
     endDispatch(DispatchResult::answered, true);
     answerComplete_ = true;
-    event_ = {splitter_.rest(), ""};
-    if (!event_.bytes.empty()) handleEvent(RelayEvents::Piece{});
-    handleEvent(RelayEvents::Whole{});
+    event_ = {splitter_.incompleteEvent(), ""};
+    if (!event_.bytes.empty()) handleEvent(RelayEvents::StreamEventReceived{});
+    handleEvent(RelayEvents::ResponseComplete{});
     return;
   }
   recordRunStart();
@@ -303,7 +303,7 @@
     fallbackHead_ = answerHead_;
     fallbackBody_ = answerBody_;
   }
-  handleEvent(RelayEvents::Whole{!failed});
+  handleEvent(RelayEvents::ResponseComplete{!failed});
 }
 
 void TrafficSession::upstreamFailed(bool sent) {
@@ -315,7 +315,7 @@
       .with("afterMs", std::chrono::duration_cast<Millis>(clockNow() - dispatchedAt_));
   endDispatch(sent ? DispatchResult::broken : DispatchResult::unreachable, false);
   if (sent) {
-    handleEvent(RelayEvents::Broken{});
+    handleEvent(RelayEvents::ConnectionBroken{});
   } else {
     handleEvent(RelayEvents::NotSent{});
   }
@@ -372,18 +372,18 @@
   return fields;
 }
 
-void TrafficSession::perform(const RelayActions::PassPiece& action) {
+void TrafficSession::perform(const RelayActions::ForwardEvent& action) {
   if (action.first) exchange_->startPieces(answerHead_.status, forwardedFields(answerHead_));
   if (!event_.id.empty()) lastEventId_ = event_.id;
   exchange_->sendPiece(event_.bytes);
 }
 
-void TrafficSession::perform(const RelayActions::PassEnd&) {
+void TrafficSession::perform(const RelayActions::EndStream&) {
   exchange_->endPieces();
   finish("answered", answerHead_.status);
 }
 
-void TrafficSession::perform(const RelayActions::PassWhole&) {
+void TrafficSession::perform(const RelayActions::ForwardResponse&) {
   const HttpHead& head = answerComplete_ ? answerHead_ : fallbackHead_;
   exchange_->answer(head.status, forwardedFields(head),
                     answerComplete_ ? answerBody_ : fallbackBody_);
@@ -401,12 +401,12 @@
 }
 
 void TrafficSession::perform(const RelayActions::Fail& action) {
-  const int status = action.timeUp ? kGatewayTimeout : kBadGateway;
+  const int status = action.deadlineExceeded ? kGatewayTimeout : kBadGateway;
   exchange_->answer(status, {}, "");
-  finish(action.timeUp ? "timeUp" : "mayHaveRun", status);
+  finish(action.deadlineExceeded ? "timeUp" : "mayHaveRun", status);
 }
 
-void TrafficSession::perform(const RelayActions::BreakOff&) {
+void TrafficSession::perform(const RelayActions::AbortStream&) {
   exchange_->breakOff();
   finish("brokenOff", answerHead_.status);
 }
