--- a/Hallchute/src/Routing/Candidate.h
+++ b/Hallchute/src/Routing/Candidate.h
@@ -33,7 +33,7 @@
 
 /// \brief Properties of a request that a policy takes into account.
 /// \ingroup Routing
-struct ChoiceRequest {
+struct RoutingRequest {
   std::uint64_t affinity = 0;
   std::size_t promptTokens = 0;
   /// Mean of inFlight over all usable upstreams of the shard, including those at capacity.
--- a/Hallchute/src/Routing/PrefixIndex.cpp
+++ b/Hallchute/src/Routing/PrefixIndex.cpp
@@ -16,7 +16,7 @@
   return count * PrefixBlocks::kTokensPerBlock;
 }
 
-void PrefixIndex::use(std::span<const std::uint64_t> hashes, std::uint64_t stamp) {
+void PrefixIndex::recordUse(std::span<const std::uint64_t> hashes, std::uint64_t stamp) {
   for (auto hash = hashes.rbegin(); hash != hashes.rend(); ++hash) {
     const auto entry = blocksByHash_.find(*hash);
     if (entry != blocksByHash_.end()) {
@@ -31,17 +31,17 @@
   evictExcess();
 }
 
-std::optional<std::uint64_t> PrefixIndex::oldestStamp() const {
+std::optional<std::uint64_t> PrefixIndex::nextEvictionStamp() const {
   if (blocksByHash_.size() < maxBlocks_ || lruBlocks_.empty()) return std::nullopt;
   return lruBlocks_.back().stamp;
 }
 
-std::uint64_t PrefixIndex::usesOf(std::uint64_t hash) const {
+std::uint64_t PrefixIndex::useCount(std::uint64_t hash) const {
   const auto entry = blocksByHash_.find(hash);
   return entry == blocksByHash_.end() ? 0 : entry->second->uses;
 }
 
-void PrefixIndex::drop(std::uint64_t hash) {
+void PrefixIndex::evict(std::uint64_t hash) {
   const auto entry = blocksByHash_.find(hash);
   if (entry == blocksByHash_.end()) return;
   lruBlocks_.erase(entry->second);
--- a/Hallchute/src/Routing/PrefixIndex.h
+++ b/Hallchute/src/Routing/PrefixIndex.h
@@ -27,15 +27,15 @@
   std::size_t cachedTokens(std::span<const std::uint64_t> hashes) const;
   /// \brief Records that a prompt was sent; its last blocks are evicted before its first.
   /// \param stamp logical clock of the owner, incremented for each prompt sent to any upstream.
-  void use(std::span<const std::uint64_t> hashes, std::uint64_t stamp = 0);
+  void recordUse(std::span<const std::uint64_t> hashes, std::uint64_t stamp = 0);
   /// \brief Stamp of the block that would be evicted next; empty while the cache is not full.
-  std::optional<std::uint64_t> oldestStamp() const;
+  std::optional<std::uint64_t> nextEvictionStamp() const;
   /// \brief Number of prompts that have used the block since it was cached; 0 if it is not cached.
-  std::uint64_t usesOf(std::uint64_t hash) const;
+  std::uint64_t useCount(std::uint64_t hash) const;
   /// \brief Applies a cache event: the upstream evicted this block.
-  void drop(std::uint64_t hash);
+  void evict(std::uint64_t hash);
   void setCapacity(std::size_t capacityTokens);
-  std::size_t blocks() const { return blocksByHash_.size(); }
+  std::size_t blockCount() const { return blocksByHash_.size(); }
 
  private:
   void evictExcess();
--- a/Hallchute/src/Routing/ChoicePolicy.h
+++ b/Hallchute/src/Routing/RoutingPolicy.h
@@ -1,8 +1,8 @@
 // This file is part of hallchute, a serving system for language models.
 // SPDX-License-Identifier: Apache-2.0
 
-#ifndef HALLCHUTE_ROUTING_CHOICEPOLICY_H
-#define HALLCHUTE_ROUTING_CHOICEPOLICY_H
+#ifndef HALLCHUTE_ROUTING_ROUTINGPOLICY_H
+#define HALLCHUTE_ROUTING_ROUTINGPOLICY_H
 
 #include <cstddef>
 #include <variant>
@@ -40,8 +40,8 @@
 
 /// \brief Policies for choosing an upstream; docs/DESIGN.md compares them.
 /// \ingroup Routing
-using ChoicePolicy = std::variant<PrefixAffinity, RoundRobin, LeastInFlight, SessionHash>;
+using RoutingPolicy = std::variant<PrefixAffinity, RoundRobin, LeastInFlight, SessionHash>;
 
 }  // namespace Hallchute
 
-#endif  // HALLCHUTE_ROUTING_CHOICEPOLICY_H
+#endif  // HALLCHUTE_ROUTING_ROUTINGPOLICY_H
--- a/Hallchute/src/Traffic/TrafficEngine.cpp
+++ b/Hallchute/src/Traffic/TrafficEngine.cpp
@@ -86,7 +86,7 @@
   upstreams_.noteDraining(upstream.id, upstream.incarnation);
 }
 
-void TrafficEngine::setFleet(const FleetTold& view) {
+void TrafficEngine::setFleet(const FleetTrafficView& view) {
   daemonCount_ = std::max<std::size_t>(1, view.known);
   clockOffset_ = view.clockOffset;
   upstreams_.setPeerLoads(view.loads);
--- a/Hallchute/src/Traffic/TrafficEngine.h
+++ b/Hallchute/src/Traffic/TrafficEngine.h
@@ -35,7 +35,7 @@
 
 /// \brief State of the fleet that the traffic thread needs, from the reports of other daemons.
 /// \ingroup Traffic
-struct FleetTold {
+struct FleetTrafficView {
   /// Estimated number of running daemons, including this one and those without a recent report.
   std::size_t known = 1;
   UpstreamLoads loads;
@@ -60,10 +60,10 @@
   void noteDraining(const UpstreamIncarnation& upstream);
   /// \brief Sets whether newer settings may exist that this daemon cannot receive. While it is set,
   /// unknown routes and keys are refused with 503 instead of 404 and 401.
-  void setSettingsMayBeOld(bool old) { settingsMayBeStale_ = old; }
+  void setSettingsMayBeStale(bool old) { settingsMayBeStale_ = old; }
   /// \brief Refuses all new requests from now on: they could not complete before the daemon stops.
-  void refuseNew() { refusingNewRequests_ = true; }
-  void setFleet(const FleetTold& view);
+  void refuseNewRequests() { refusingNewRequests_ = true; }
+  void setFleet(const FleetTrafficView& view);
   void noteSpentElsewhere(const OrganisationName& organisation, double amount);
   /// \brief Whether requests can be served.
   bool ready() const { return routes_ != nullptr && !upstreams_.entries().empty(); }
