--- a/Hallchute/src/Fleet/FleetClock.cpp
+++ b/Hallchute/src/Fleet/FleetClock.cpp
@@ -8,19 +8,20 @@
 namespace Hallchute {
 namespace {
 
-/// A report is under way for ms, to a busy host for tens of ms: smaller differences are no step.
-constexpr Millis kNoise{100};
-/// How long the median must have moved before it is followed: a clock that is set back for some
-/// seconds would make the windows before and after wrong.
-constexpr Millis kFollowAfter{10'000};
-
-/// The median that is nearest to \p present: of an even number of clocks any value between the
-/// middle two is one.
-Millis medianNear(Millis present, std::vector<Millis> offsets) {
+/// Report latency is milliseconds, tens of milliseconds to a busy host: smaller offsets aren't a
+/// clock step.
+constexpr Millis kClockTolerance{100};
+/// How long the median must differ before the clock steps: following a host clock that is wrong for
+/// only a few seconds would misplace the usage windows before and after.
+constexpr Millis kStepConfirmation{10'000};
+
+/// Returns the median nearest to \p current: with an even number of clocks, any value between the
+/// middle two is a median.
+Millis nearestMedian(Millis current, std::vector<Millis> offsets) {
   std::sort(offsets.begin(), offsets.end());
   const Millis lower = offsets[(offsets.size() - 1) / 2];
   const Millis upper = offsets[offsets.size() / 2];
-  return std::clamp(present, lower, upper);
+  return std::clamp(current, lower, upper);
 }
 
 }  // namespace
@@ -28,15 +29,15 @@
 void FleetClock::adjust(std::vector<Millis> offsets, bool starting, Instant now) {
   if (offsets.empty()) return;
   if (!offset_) offset_ = offsets.front();
-  const Millis median = medianNear(*offset_, std::move(offsets));
-  if (std::chrono::abs(median - *offset_) <= kNoise) {
-    elsewhereSince_.reset();
+  const Millis median = nearestMedian(*offset_, std::move(offsets));
+  if (std::chrono::abs(median - *offset_) <= kClockTolerance) {
+    divergedSince_.reset();
     return;
   }
-  if (!elsewhereSince_) elsewhereSince_ = now;
-  if (!starting && now - *elsewhereSince_ < kFollowAfter) return;
+  if (!divergedSince_) divergedSince_ = now;
+  if (!starting && now - *divergedSince_ < kStepConfirmation) return;
   offset_ = median;
-  elsewhereSince_.reset();
+  divergedSince_.reset();
 }
 
 Millis FleetClock::at(Instant now) const {
--- a/Hallchute/src/Fleet/FleetClock.h
+++ b/Hallchute/src/Fleet/FleetClock.h
@@ -11,28 +11,29 @@
 
 namespace Hallchute {
 
-/// \brief The wall clock that daemons share: the median of their hosts' clocks. One thread; no I/O,
-/// reads no clock. \ingroup Fleet
+/// \brief Fleet-wide wall clock: the median of the hosts' wall clocks. Not thread-safe; does no
+/// I/O and reads no clock itself. \ingroup Fleet
 ///
-/// It runs by the monotonic clock, so that setting a host's clock doesn't move it. A median that
-/// moves is followed after a while only: a daemon that hears no others can't tell a step that is
-/// taken back soon from a correction. Cost: a sort of the clocks for each adjust().
+/// Advances with the monotonic clock, so that setting a host's wall clock doesn't move it. A
+/// changed median is adopted only after a delay, as a daemon without peers can't tell a temporary
+/// step from a correction. Cost: each adjust() sorts the offsets.
 class FleetClock {
  public:
-  /// \brief Compares with the daemons' clocks.
-  /// \param offsets how far each wall clock is ahead of this host's monotonic one, in ms; the own
-  ///        host's among them. The first call sets the clock.
-  /// \param starting whether the others are still being met: a median that moves is no step then.
+  /// \brief Updates the offset from the daemons' wall clocks; the first call sets it.
+  /// \param offsets how far each wall clock is ahead of this host's monotonic clock, in ms,
+  ///        including this host's own.
+  /// \param starting whether peers are still being discovered: a changed median is then adopted
+  ///        at once.
   void adjust(std::vector<Millis> offsets, bool starting, Instant now);
-  /// \brief Time since the start of 1970. \param now at or after the first adjust().
+  /// \brief Time since the Unix epoch. \param now at or after the first adjust().
   Millis at(Instant now) const;
-  /// \brief How far the clock is ahead of this host's monotonic one, in ms.
+  /// \brief Offset from this host's monotonic clock, in ms.
   Millis offset() const { return offset_.value_or(Millis(0)); }
 
  private:
   std::optional<Millis> offset_;
-  /// Since when the median has been elsewhere.
-  std::optional<Instant> elsewhereSince_;
+  /// When the median began to differ from offset_ by more than the tolerance.
+  std::optional<Instant> divergedSince_;
 };
 
 }  // namespace Hallchute
--- a/Hallchute/src/Fleet/FleetPeer.h
+++ b/Hallchute/src/Fleet/FleetPeer.h
@@ -12,38 +12,40 @@
 
 namespace Hallchute {
 
-/// \brief Another daemon by its reports and by what relays say of it. \ingroup Fleet
+/// \brief State of another daemon, from its own reports and from those of relays. \ingroup Fleet
 struct FleetPeer {
-  /// Several report periods: one lost report doesn't make a daemon unheard.
-  static constexpr Millis kHeardFor{1'000};
-  /// How long a silent daemon may still be running behind a cut and spending its part of quotas.
-  static constexpr Millis kKnownFor{15'000};
-  /// Shared by all who were sent the same: 59 copies of 295 members took a relay 40 MB.
+  /// Several report periods, so that one lost report doesn't mark a daemon as down.
+  static constexpr Millis kLivenessTimeout{1'000};
+  /// How long a silent daemon is assumed to be running behind a network partition and spending its
+  /// share of the quotas.
+  static constexpr Millis kPeerRetention{15'000};
+  /// Shared between receivers of equal lists: 59 copies of 295 members took 40 MB on a relay.
   using MemberList = std::shared_ptr<const std::vector<FleetMember>>;
 
-  static bool within(Instant then, Instant now, Millis limit) {
-    return then != Instant{} && now - then <= limit;
+  static bool isRecent(Instant time, Instant now, Millis limit) {
+    return time != Instant{} && now - time <= limit;
   }
-  /// \brief Whether it was heard of lately, directly or by a relay, and isn't leaving.
+  /// \brief Whether it was reported alive recently, by itself or by a relay, and isn't leaving.
   bool alive(Instant now) const {
     if (report.leaving) return false;
-    return within(reported, now, kHeardFor) || within(vouched, now, kHeardFor);
+    return isRecent(reportedAt, now, kLivenessTimeout) ||
+           isRecent(confirmedAliveAt, now, kLivenessTimeout);
   }
 
-  /// The last report of its own; only `self` is set before the first.
+  /// The last report it sent; before the first one only `self` is set.
   FleetReport report;
-  /// When a report of its own came, and when a relay last named it as alive.
-  Instant reported{};
-  Instant vouched{};
-  /// When anything was learned of it, also by daemons that don't vouch for it.
-  Instant seen{};
-  /// How far the clock that it reported is ahead of this host's monotonic one.
+  /// When its last report arrived, and when a relay last listed it as alive.
+  Instant reportedAt{};
+  Instant confirmedAliveAt{};
+  /// When it was last reported by itself or listed by a relay, or else first named by any daemon.
+  Instant lastSeenAt{};
+  /// How far its reported wall clock is ahead of this host's monotonic clock.
   Millis clockOffset{0};
-  /// What it spent by its own reports as a member of a relay's domain.
+  /// Quota it spent according to its own reports, sent as a member of a relay's domain.
   SpentQuota spentAsMember;
-  /// When it was last sent a report with members, and which.
-  Instant membersSent{};
-  MemberList sentMembers;
+  /// When it was last sent a member list, and which one.
+  Instant membersSentAt{};
+  MemberList lastSentMembers;
 };
 
 }  // namespace Hallchute
--- a/Hallchute/src/Fleet/FleetReport.h
+++ b/Hallchute/src/Fleet/FleetReport.h
@@ -17,58 +17,59 @@
 
 namespace Hallchute {
 
-/// \brief Where a daemon is reached. \ingroup Fleet
+/// \brief Identity and peer address of a daemon. \ingroup Fleet
 struct FleetMember {
   FleetMember() = default;
-  FleetMember(DaemonId id, std::string where, std::uint64_t life, DomainName place = {},
-              std::uint32_t power = 0)
+  FleetMember(DaemonId id, std::string peerAddress, std::uint64_t startIncarnation,
+              DomainName failureDomain = {}, std::uint32_t hostCapacity = 0)
       : daemon(std::move(id)),
-        address(std::move(where)),
-        incarnation(life),
-        domain(std::move(place)),
-        capacity(power) {}
+        address(std::move(peerAddress)),
+        incarnation(startIncarnation),
+        domain(std::move(failureDomain)),
+        capacity(hostCapacity) {}
 
   DaemonId daemon;
-  /// Its peers' address, `ip:port`.
+  /// Address for traffic between peers, `ip:port`.
   std::string address;
-  /// Rises with each start of the daemon's process.
+  /// Increases with each start of the daemon's process.
   std::uint64_t incarnation = 0;
   DomainName domain;
-  /// Thousandths of a processor that its host gives: who has most carries reports for others.
+  /// CPU capacity of its host in thousandths of a processor; the daemon with the most becomes
+  /// relay.
   std::uint32_t capacity = 0;
   bool operator==(const FleetMember&) const = default;
 };
 
-/// \brief For whom a report speaks. \ingroup Fleet
+/// \brief Which daemons a report covers. \ingroup Fleet
 enum class ReportScope : std::uint8_t {
-  /// Its sender alone; the sender reports to every daemon.
+  /// The sender only; it reports to every daemon.
   everybody,
-  /// Its sender alone; a relay passes it on.
+  /// The sender only; a relay aggregates and forwards it.
   member,
-  /// The sender and the daemons of its failure domain; goes to other relays.
+  /// The sender and the daemons of its failure domain; sent to other relays.
   domain,
-  /// All daemons but the receiver.
+  /// All daemons except the receiver.
   fleet,
 };
 
-/// \brief Who holds the fleet's duties, as far as a daemon knows. \ingroup Fleet
+/// \brief The daemon that holds the fleet's duties, as known locally. \ingroup Fleet
 struct DutyHolder {
   DaemonId daemon;
   std::uint64_t incarnation = 0;
   /// The fencing token; 0 if no holder is known.
   std::uint64_t epoch = 0;
-  /// It can't reach the store while others do, and never acts under this epoch again.
+  /// It can't reach the store while others can, and never acts under this epoch again.
   bool resigned = false;
   bool operator==(const DutyHolder&) const = default;
 
-  /// \brief Takes over what another daemon knows, if that is later.
+  /// \brief Adopts \p other if it has a later epoch; for the same epoch, adopts its resignation.
   void learn(const DutyHolder& other) {
     if (other.epoch > epoch) *this = other;
     if (other.epoch == epoch && other.resigned) resigned = true;
   }
 };
 
-/// \brief The usage of one incarnation of a daemon, as another one tells it. \ingroup Fleet
+/// \brief Usage of one incarnation of a daemon, as reported by another daemon. \ingroup Fleet
 struct IncarnationUsage {
   DaemonId daemon;
   std::uint64_t incarnation = 0;
@@ -77,40 +78,40 @@
   bool operator==(const IncarnationUsage&) const = default;
 };
 
-/// \brief The age of what was never heard.
+/// \brief Age that stands for a contact that never took place.
 /// \ingroup Fleet
 inline constexpr Millis kNeverHeard = std::chrono::hours(24);
 
-/// \brief What a daemon tells others several times a second. \ingroup Fleet
+/// \brief Report that a daemon sends to its peers several times a second. \ingroup Fleet
 ///
-/// All numbers are totals since its incarnation began: a lost report loses nothing.
+/// All counters are totals since the incarnation began, so a lost report loses no data.
 struct FleetReport {
   FleetMember self;
   ReportScope scope = ReportScope::everybody;
-  /// Time since the start of 1970: by the sender's host, or by the clocks of all whom it speaks
-  /// for.
+  /// Time since the Unix epoch: the sender's host clock, or the shared clock of all daemons that
+  /// the report covers.
   Millis wallClock{0};
   std::uint64_t settingsVersion = 0;
-  /// Rises with the store's revision that its copy of the upstreams is complete to.
+  /// The store revision up to which the sender's copy of the upstreams is complete.
   std::uint64_t upstreamsVersion = 0;
-  /// How long ago the store last answered anybody the sender hears of.
+  /// Time since the store last answered the sender or any daemon whose reports reach it.
   Millis storeAge{kNeverHeard};
   SpentQuota spent;
   UpstreamLoads loads;
-  /// Of those that the scope names.
+  /// Usage of the daemons in the scope.
   UsageByWindow usage;
-  /// Upstreams that it knows to take no new work.
+  /// Upstreams known to accept no new work.
   std::vector<UpstreamIncarnation> draining;
   DutyHolder duties;
-  /// Daemons in the scope that the sender hears; with `everybody`, all addresses it knows.
+  /// Daemons in the scope that the sender considers alive; with `broadcast`, all it knows.
   std::vector<FleetMember> members;
-  /// Usage of single incarnations, which counts once however many tell it. Told once a second: of
-  /// incarnations that ended, for daemons that started after them; by relays to each other and to
-  /// the daemon that would follow them, of their domain too, as a relay may end.
+  /// Usage of single incarnations, counted once however many daemons report it. Sent once a second:
+  /// for incarnations that ended, so that daemons started later learn it; and, between relays and
+  /// to a relay's standby, for the relay's own domain, as the relay may fail.
   std::vector<IncarnationUsage> incarnations;
-  /// `members` is left out as it is what the last report held.
+  /// `members` is omitted because it equals that of the last report.
   bool membersUnchanged = false;
-  /// It is about to stop.
+  /// The sender is shutting down.
   bool leaving = false;
 };
 
--- a/Hallchute/src/Fleet/FleetRoster.cpp
+++ b/Hallchute/src/Fleet/FleetRoster.cpp
@@ -9,22 +9,23 @@
 namespace Hallchute {
 namespace {
 
-/// How old a choice of relays may be that no report has changed: it changes as daemons fall silent,
-/// a twentieth of the time after which one counts as silent.
-constexpr Millis kElectionAge{50};
-/// Daemons of a domain that watch the store in a large fleet: one may be cut off from it.
-constexpr std::size_t kFollowersOfDomain = 2;
-/// How long a daemon's word takes to the others: a report period and the way in a small fleet; in a
-/// large one by two relays, each of which waits for its next report.
+/// Maximum age of a cached election that no report has invalidated: it also changes as daemons time
+/// out. A twentieth of the liveness timeout.
+constexpr Millis kElectionMaxAge{50};
+/// Daemons per domain that watch the store in a large fleet: one may lose its connection to it.
+constexpr std::size_t kWatchersPerDomain = 2;
+/// Time for a report to reach all others: in a small fleet one report period and the network
+/// latency; in a large one it passes two relays, each of which waits for its next report.
 constexpr Millis kDirectLag{250};
 constexpr Millis kRelayedLag{500};
-/// How long daemons that start together take to know each other: some report periods by two relays.
-constexpr Millis kMeetTime{1'200};
-/// Incarnations are starts in milliseconds of the wall clock: one that began this much earlier has
-/// met the others long ago.
-constexpr std::uint64_t kSettledLife = 3'000;
-/// The part of quotas before that: as if the fleet were a hundred.
-constexpr double kUnmetPart = 0.01;
+/// How long daemons that start together take to discover each other: several report periods through
+/// two relays.
+constexpr Millis kDiscoveryTime{1'200};
+/// Incarnations are start times in milliseconds of the wall clock: a daemon that started this much
+/// earlier has completed its discovery.
+constexpr std::uint64_t kEstablishedLeadMs = 3'000;
+/// The quota share during discovery if the size of the fleet is unknown: assumes 100 daemons.
+constexpr double kDiscoveryQuotaShare = 0.01;
 
 }  // namespace
 
@@ -34,25 +35,25 @@
   }
 }
 
-bool FleetRoster::isStronger(const FleetMember* a, const FleetMember* b) {
+bool FleetRoster::ranksHigher(const FleetMember* a, const FleetMember* b) {
   return a->capacity != b->capacity ? a->capacity > b->capacity : a->daemon < b->daemon;
 }
 
 const FleetRoster::Election& FleetRoster::election(Instant now) const {
-  if (election_ && now >= election_->at && now - election_->at < kElectionAge) return *election_;
+  if (election_ && now >= election_->at && now - election_->at < kElectionMaxAge) return *election_;
   Election found;
   found.at = now;
-  std::map<DomainName, const FleetMember*> strongest{{self_.domain, &self_}};
-  std::size_t seen = 1;
+  std::map<DomainName, const FleetMember*> highest{{self_.domain, &self_}};
+  std::size_t recent = 1;
   for (const auto& [daemon, peer] : peers_) {
-    if (FleetPeer::within(peer.seen, now, FleetPeer::kKnownFor)) ++seen;
+    if (FleetPeer::isRecent(peer.lastSeenAt, now, FleetPeer::kPeerRetention)) ++recent;
     if (!peer.alive(now)) continue;
     const FleetMember& member = peer.report.self;
-    const FleetMember*& best = strongest[member.domain];
-    if (best == nullptr || isStronger(&member, best)) best = &member;
+    const FleetMember*& best = highest[member.domain];
+    if (best == nullptr || ranksHigher(&member, best)) best = &member;
   }
-  found.small = seen <= kSmallFleet;
-  for (const auto& [domain, member] : strongest) found.relays[domain] = member->daemon;
+  found.small = recent <= kSmallFleet;
+  for (const auto& [domain, member] : highest) found.relays[domain] = member->daemon;
   election_ = std::move(found);
   return *election_;
 }
@@ -61,8 +62,8 @@
   return election(now).small;
 }
 
-std::vector<DaemonId> FleetRoster::strongestOf(const DomainName& domain, std::size_t most,
-                                               Instant now) const {
+std::vector<DaemonId> FleetRoster::highestRanked(const DomainName& domain, std::size_t most,
+                                                 Instant now) const {
   std::vector<const FleetMember*> members;
   if (self_.domain == domain) members.push_back(&self_);
   for (const auto& [daemon, peer] : peers_) {
@@ -71,10 +72,10 @@
   }
   const std::size_t count = std::min(most, members.size());
   const auto end = members.begin() + static_cast<std::ptrdiff_t>(count);
-  std::partial_sort(members.begin(), end, members.end(), isStronger);
-  std::vector<DaemonId> strongest;
-  for (std::size_t i = 0; i < count; ++i) strongest.push_back(members[i]->daemon);
-  return strongest;
+  std::partial_sort(members.begin(), end, members.end(), ranksHigher);
+  std::vector<DaemonId> ranked;
+  for (std::size_t i = 0; i < count; ++i) ranked.push_back(members[i]->daemon);
+  return ranked;
 }
 
 DaemonId FleetRoster::relayOf(const DomainName& domain, Instant now) const {
@@ -85,8 +86,8 @@
 
 bool FleetRoster::followsStore(Instant now) const {
   if (isSmall(now)) return true;
-  const std::vector<DaemonId> followers = strongestOf(self_.domain, kFollowersOfDomain, now);
-  return std::find(followers.begin(), followers.end(), self_.daemon) != followers.end();
+  const std::vector<DaemonId> watchers = highestRanked(self_.domain, kWatchersPerDomain, now);
+  return std::find(watchers.begin(), watchers.end(), self_.daemon) != watchers.end();
 }
 
 Millis FleetRoster::reportLag(Instant now) const {
@@ -97,85 +98,90 @@
   return relayOf(self_.domain, now) == self_.daemon;
 }
 
-/// Whether hearsay of a daemon is of another process than the one that is known.
-bool FleetRoster::isAnother(const FleetPeer& peer, const FleetMember& member, bool vouched,
-                            Instant now) const {
+/// Whether \p member, as listed by a third daemon, is a different process of \p peer's daemon than
+/// the recorded one.
+bool FleetRoster::isOtherProcess(const FleetPeer& peer, const FleetMember& member, bool confirmed,
+                                 Instant now) const {
   const std::uint64_t present = peer.report.self.incarnation;
-  if (member.incarnation == present || FleetPeer::within(peer.reported, now, FleetPeer::kHeardFor))
+  if (member.incarnation == present ||
+      FleetPeer::isRecent(peer.reportedAt, now, FleetPeer::kLivenessTimeout))
     return false;
-  return member.incarnation > present || (vouched && !peer.alive(now));
+  return member.incarnation > present || (confirmed && !peer.alive(now));
 }
 
-void FleetRoster::noteMembers(ReportScope scope, std::span<const FleetMember> members,
-                              Instant now) {
-  const bool vouched = scope == ReportScope::domain || scope == ReportScope::fleet;
+void FleetRoster::updateMembers(ReportScope scope, std::span<const FleetMember> members,
+                                Instant now) {
+  const bool confirmed = scope == ReportScope::domain || scope == ReportScope::fleet;
   for (const FleetMember& member : members) {
     if (member.daemon == self_.daemon) continue;
     FleetPeer& peer = peers_[member.daemon];
-    if (isAnother(peer, member, vouched, now)) {
+    if (isOtherProcess(peer, member, confirmed, now)) {
       peer.report = FleetReport{};
       peer.report.self = member;
-      peer.reported = Instant{};
+      peer.reportedAt = Instant{};
       election_.reset();
     }
-    if (vouched && !peer.alive(now)) election_.reset();
-    if (vouched || peer.seen == Instant{}) peer.seen = now;
-    if (vouched && member.incarnation == peer.report.self.incarnation) peer.vouched = now;
+    if (confirmed && !peer.alive(now)) election_.reset();
+    if (confirmed || peer.lastSeenAt == Instant{}) peer.lastSeenAt = now;
+    if (confirmed && member.incarnation == peer.report.self.incarnation)
+      peer.confirmedAliveAt = now;
   }
 }
 
-bool FleetRoster::speaksForItself(const DaemonId& daemon, std::uint64_t incarnation,
-                                  Instant now) const {
+bool FleetRoster::isLiveIncarnation(const DaemonId& daemon, std::uint64_t incarnation,
+                                    Instant now) const {
   const auto it = peers_.find(daemon);
   if (it == peers_.end() || !it->second.alive(now)) return false;
   return it->second.report.self.incarnation == incarnation;
 }
 
-DaemonId FleetRoster::deputy(Instant now) const {
-  const std::vector<DaemonId> strongest = strongestOf(self_.domain, kFollowersOfDomain, now);
-  return strongest.size() == kFollowersOfDomain ? strongest.back() : DaemonId();
+DaemonId FleetRoster::standby(Instant now) const {
+  const std::vector<DaemonId> ranked = highestRanked(self_.domain, kWatchersPerDomain, now);
+  return ranked.size() == kWatchersPerDomain ? ranked.back() : DaemonId();
 }
 
-std::size_t FleetRoster::heard(Instant now) const {
+std::size_t FleetRoster::liveCount(Instant now) const {
   return 1 + static_cast<std::size_t>(
                  std::count_if(peers_.begin(), peers_.end(),
                                [&](const auto& entry) { return entry.second.alive(now); }));
 }
 
-std::size_t FleetRoster::known(Instant now) const {
+std::size_t FleetRoster::expectedCount(Instant now) const {
   std::size_t count = 1;
-  std::set<std::string> unmet = addresses_;
+  std::set<std::string> undiscovered = addresses_;
   for (const auto& [daemon, peer] : peers_) {
-    unmet.erase(peer.report.self.address);
-    if (!peer.report.leaving && FleetPeer::within(peer.seen, now, FleetPeer::kKnownFor)) ++count;
+    undiscovered.erase(peer.report.self.address);
+    if (!peer.report.leaving &&
+        FleetPeer::isRecent(peer.lastSeenAt, now, FleetPeer::kPeerRetention))
+      ++count;
   }
-  // Right after a start the others are there and not yet heard.
-  const bool starting = heard(now) == 1;
-  if (starting) count += unmet.size();
-  return now - started_ < FleetPeer::kKnownFor ? std::max(count, earlierSize_) : count;
+  // Right after a start the daemons at the configured addresses are running but have not reported.
+  const bool starting = liveCount(now) == 1;
+  if (starting) count += undiscovered.size();
+  return now - started_ < FleetPeer::kPeerRetention ? std::max(count, earlierSize_) : count;
 }
 
 bool FleetRoster::hasMet(Instant now) const {
-  if (now - started_ >= kMeetTime) return true;
-  // One that ran before this daemon's start knows the fleet and tells it at once.
+  if (now - started_ >= kDiscoveryTime) return true;
+  // A daemon that was running before this one started knows the fleet and reports it at once.
   return std::any_of(peers_.begin(), peers_.end(), [&](const auto& entry) {
     const FleetReport& report = entry.second.report;
-    return FleetPeer::within(entry.second.reported, now, FleetPeer::kHeardFor) &&
-           report.self.incarnation + kSettledLife <= self_.incarnation;
+    return FleetPeer::isRecent(entry.second.reportedAt, now, FleetPeer::kLivenessTimeout) &&
+           report.self.incarnation + kEstablishedLeadMs <= self_.incarnation;
   });
 }
 
 QuotaFleet FleetRoster::quotaFleet(Instant now) const {
   QuotaFleet fleet;
-  fleet.heard = heard(now);
+  fleet.heard = liveCount(now);
   fleet.reportLag = reportLag(now);
-  const auto all = static_cast<double>(std::max<std::size_t>(1, known(now)));
+  const auto all = static_cast<double>(std::max<std::size_t>(1, expectedCount(now)));
   fleet.meeting = !hasMet(now);
   if (fleet.meeting) {
-    fleet.meetingLeft = std::chrono::duration_cast<Millis>(started_ + kMeetTime - now);
+    fleet.meetingLeft = std::chrono::duration_cast<Millis>(started_ + kDiscoveryTime - now);
   }
   if (!fleet.meeting || earlierSize_ > 0) fleet.ownPart = 1 / all;
-  fleet.heardPart = fleet.meeting ? fleet.ownPart.value_or(kUnmetPart)
+  fleet.heardPart = fleet.meeting ? fleet.ownPart.value_or(kDiscoveryQuotaShare)
                                   : std::min(1.0, static_cast<double>(fleet.heard) / all);
   return fleet;
 }
@@ -187,17 +193,17 @@
 }
 
 std::map<DaemonId, std::uint64_t> FleetRoster::heardOthers(Instant now) const {
-  std::map<DaemonId, std::uint64_t> heard;
+  std::map<DaemonId, std::uint64_t> others;
   for (const auto& [daemon, peer] : peers_) {
-    if (peer.alive(now)) heard[daemon] = peer.report.self.incarnation;
+    if (peer.alive(now)) others[daemon] = peer.report.self.incarnation;
   }
-  return heard;
+  return others;
 }
 
 std::vector<const FleetReport*> FleetRoster::reports(Instant now) const {
   std::vector<const FleetReport*> reports;
   for (const auto& [daemon, peer] : peers_) {
-    if (FleetPeer::within(peer.reported, now, FleetPeer::kHeardFor))
+    if (FleetPeer::isRecent(peer.reportedAt, now, FleetPeer::kLivenessTimeout))
       reports.push_back(&peer.report);
   }
   return reports;
--- a/Hallchute/src/Fleet/FleetRoster.h
+++ b/Hallchute/src/Fleet/FleetRoster.h
@@ -19,16 +19,16 @@
 
 namespace Hallchute {
 
-/// \brief Which daemons there are, which of them are heard of, and who relays for whom. One thread;
-/// no I/O, no clock. \ingroup Fleet
+/// \brief Tracks the daemons of the fleet, their liveness and the relay of each failure domain. Not
+/// thread-safe; does no I/O and reads no clock. \ingroup Fleet
 ///
-/// The relay of a failure domain is its strongest daemon that is heard of; each daemon elects for
-/// itself by what it received. Cost: a pass over all daemons for an election, which holds for a
-/// moment; for heard() and known() one each time.
+/// The relay of a failure domain is its live daemon with the most capacity; each daemon computes
+/// this locally from the reports that it received. Cost: an election passes over all daemons and is
+/// cached briefly; each liveCount() and expectedCount() is one pass.
 class FleetRoster {
  public:
-  /// Above it, relays carry the reports: with twelve daemons the reports to all cost each about
-  /// half a hundredth of a processor, and the cost grows with the square.
+  /// Larger fleets report through relays. With twelve daemons, reporting to all costs each about
+  /// 0.5 % of a processor; the fleet's cost grows with the square of its size.
   static constexpr std::size_t kSmallFleet = 12;
 
   FleetRoster(FleetMember self, Instant started) : self_(std::move(self)), started_(started) {}
@@ -37,41 +37,44 @@
   Instant started() const { return started_; }
   std::map<DaemonId, FleetPeer>& peers() { return peers_; }
   const std::map<DaemonId, FleetPeer>& peers() const { return peers_; }
-  /// \brief Addresses whose daemons may not be known yet.
+  /// \brief Addresses whose daemons may not have been discovered yet.
   const std::set<std::string>& addresses() const { return addresses_; }
   void addAddresses(std::span<const std::string> addresses);
   void noteEarlierSize(std::size_t daemons) { earlierSize_ = daemons; }
-  /// \brief Members that a report names; \p scope tells whether its sender vouches for them.
-  void noteMembers(ReportScope scope, std::span<const FleetMember> members, Instant now);
-  /// \brief Something changed that relays are elected by.
-  void forgetElection() { election_.reset(); }
+  /// \brief Processes the members listed in a report; \p scope decides whether the listing confirms
+  /// that they are alive.
+  void updateMembers(ReportScope scope, std::span<const FleetMember> members, Instant now);
+  /// \brief Discards the cached election; to be called when an input of it has changed.
+  void invalidateElection() { election_.reset(); }
 
   bool isSmall(Instant now) const;
   bool isRelay(Instant now) const;
-  /// \brief The strongest daemon of a domain that is heard of; empty if none is.
+  /// \brief The live daemon of a domain with the most capacity; empty if none is alive.
   DaemonId relayOf(const DomainName& domain, Instant now) const;
-  /// \brief The one that is to follow on the own domain's relay.
-  DaemonId deputy(Instant now) const;
-  /// \brief Whether this daemon is one of those of its domain that watch the store for others.
+  /// \brief The daemon that succeeds the own domain's relay; empty if there is none.
+  DaemonId standby(Instant now) const;
+  /// \brief Whether this daemon watches the store on behalf of its domain.
   bool followsStore(Instant now) const;
-  /// \brief How long what a daemon reports takes to reach all others.
+  /// \brief Time for a report to reach all other daemons.
   Millis reportLag(Instant now) const;
 
-  std::size_t heard(Instant now) const;
-  std::size_t known(Instant now) const;
-  /// \brief Whether the others are likely to be known.
+  /// \brief Live daemons, this one included.
+  std::size_t liveCount(Instant now) const;
+  /// \brief Daemons that are likely to be running, reachable or not, this one included.
+  std::size_t expectedCount(Instant now) const;
+  /// \brief Whether the other daemons are likely to have been discovered.
   bool hasMet(Instant now) const;
   QuotaFleet quotaFleet(Instant now) const;
   std::uint64_t heardIncarnation(const DaemonId& daemon, Instant now) const;
   std::map<DaemonId, std::uint64_t> heardOthers(Instant now) const;
   std::vector<const FleetReport*> reports(Instant now) const;
-  /// \brief Whether that incarnation of a daemon is heard of, so that it reports for itself.
-  bool speaksForItself(const DaemonId& daemon, std::uint64_t incarnation, Instant now) const;
-  /// \brief Orders the daemons of a domain: more capacity first, then by name.
-  static bool isStronger(const FleetMember* a, const FleetMember* b);
+  /// \brief Whether that incarnation of a daemon is alive and so reports its own usage.
+  bool isLiveIncarnation(const DaemonId& daemon, std::uint64_t incarnation, Instant now) const;
+  /// \brief Relay precedence within a domain: by capacity, descending, then by name.
+  static bool ranksHigher(const FleetMember* a, const FleetMember* b);
 
  private:
-  /// Who carries reports, as daemons are heard at a moment.
+  /// The relays by the liveness of the daemons at a point in time.
   struct Election {
     Instant at{};
     bool small = true;
@@ -79,17 +82,19 @@
   };
 
   const Election& election(Instant now) const;
-  /// The daemons of a domain that are heard of, strongest first; \p most of them.
-  std::vector<DaemonId> strongestOf(const DomainName& domain, std::size_t most, Instant now) const;
-  bool isAnother(const FleetPeer& peer, const FleetMember& member, bool vouched, Instant now) const;
+  /// The live daemons of a domain by precedence, at most \p most of them.
+  std::vector<DaemonId> highestRanked(const DomainName& domain, std::size_t most,
+                                      Instant now) const;
+  bool isOtherProcess(const FleetPeer& peer, const FleetMember& member, bool confirmed,
+                      Instant now) const;
 
   FleetMember self_;
   Instant started_;
   std::map<DaemonId, FleetPeer> peers_;
-  /// Found anew when it is old, or a report may have changed it.
+  /// Recomputed once it is outdated or a report may have changed it.
   mutable std::optional<Election> election_;
   std::set<std::string> addresses_;
-  /// 0 if nothing tells.
+  /// 0 if unknown.
   std::size_t earlierSize_ = 0;
 };
 
--- a/Hallchute/src/Fleet/FleetUsage.cpp
+++ b/Hallchute/src/Fleet/FleetUsage.cpp
@@ -24,17 +24,17 @@
   return daemon == self_.daemon && incarnation == self_.incarnation;
 }
 
-FleetUsage::Known& FleetUsage::incarnation(const DaemonId& daemon, std::uint64_t number,
-                                           const DomainName& domain) {
-  Known& known = incarnations_[{daemon, number}];
-  known.domain = domain;
-  return known;
+FleetUsage::IncarnationRecord& FleetUsage::incarnation(const DaemonId& daemon, std::uint64_t number,
+                                                       const DomainName& domain) {
+  IncarnationRecord& record = incarnations_[{daemon, number}];
+  record.domain = domain;
+  return record;
 }
 
-void FleetUsage::raise(Known& known, const UsageByWindow& told) {
-  UsageByWindow& sums = sums_[known.domain];
-  for (const auto& [window, counts] : told) {
-    UsageCounts& before = known.usage[window];
+void FleetUsage::raiseRecord(IncarnationRecord& record, const UsageByWindow& reported) {
+  UsageByWindow& sums = domainSums_[record.domain];
+  for (const auto& [window, counts] : reported) {
+    UsageCounts& before = record.usage[window];
     UsageCounts& sum = sums[window];
     for (const auto& [organisation, count] : counts) {
       std::uint64_t& most = before[organisation];
@@ -45,12 +45,12 @@
   }
 }
 
-void FleetUsage::dropBefore(Known& known, std::int64_t firstWindow) {
-  const auto end = known.usage.lower_bound(firstWindow);
-  const UsageByWindow dropped(known.usage.begin(), end);
-  known.usage.erase(known.usage.begin(), end);
-  UsageByWindow& sums = sums_[known.domain];
-  takeOff(sums, dropped);
+void FleetUsage::dropBefore(IncarnationRecord& record, std::int64_t firstWindow) {
+  const auto end = record.usage.lower_bound(firstWindow);
+  const UsageByWindow dropped(record.usage.begin(), end);
+  record.usage.erase(record.usage.begin(), end);
+  UsageByWindow& sums = domainSums_[record.domain];
+  subtract(sums, dropped);
   for (const auto& [window, counts] : dropped) {
     if (isZero(sums[window])) sums.erase(window);
   }
@@ -58,69 +58,70 @@
 
 void FleetUsage::noteOwnWord(const FleetMember& member, const UsageByWindow& usage) {
   if (isSelf(member.daemon, member.incarnation)) return;
-  Known& known = incarnation(member.daemon, member.incarnation, member.domain);
+  IncarnationRecord& record = incarnation(member.daemon, member.incarnation, member.domain);
   const auto first = incarnations_.lower_bound({member.daemon, 0});
-  for (auto it = first; &it->second != &known; ++it) it->second.speaks = false;
-  known.speaks = true;
-  raise(known, usage);
-  // Windows that it has dropped itself.
-  if (!usage.empty()) dropBefore(known, usage.begin()->first);
+  for (auto it = first; &it->second != &record; ++it) it->second.selfReported = false;
+  record.selfReported = true;
+  raiseRecord(record, usage);
+  // Drops the windows that the sender no longer reports.
+  if (!usage.empty()) dropBefore(record, usage.begin()->first);
 }
 
-void FleetUsage::noteHearsay(const IncarnationUsage& word) {
-  if (isSelf(word.daemon, word.incarnation)) return;
-  UsageByWindow kept = word.usage;
-  // Daemons whose clocks differ must not tell each other for ever what all have dropped.
-  eraseBefore(kept, firstKept_);
+void FleetUsage::noteHearsay(const IncarnationUsage& report) {
+  if (isSelf(report.daemon, report.incarnation)) return;
+  UsageByWindow kept = report.usage;
+  // Otherwise daemons with differing clocks would keep re-sending each other windows that all have
+  // already dropped.
+  eraseBefore(kept, firstKeptWindow_);
   if (kept.empty()) return;
-  raise(incarnation(word.daemon, word.incarnation, word.domain), kept);
+  raiseRecord(incarnation(report.daemon, report.incarnation, report.domain), kept);
 }
 
 void FleetUsage::noteDomainSums(const DomainName& domain, const UsageByWindow& sums) {
-  // Sums of the own domain may hold this daemon's own counts.
+  // Sums of the own domain may include this daemon's own counts.
   if (domain == self_.domain) return;
-  UsageByWindow& known = toldOfDomains_[domain];
+  UsageByWindow& known = reportedDomainSums_[domain];
   raiseUsage(known, sums);
-  eraseBefore(known, firstKept_);
+  eraseBefore(known, firstKeptWindow_);
 }
 
 void FleetUsage::noteFleetSums(const UsageByWindow& sums) {
-  raiseUsage(toldOfFleet_, sums);
-  eraseBefore(toldOfFleet_, firstKept_);
+  raiseUsage(reportedFleetSums_, sums);
+  eraseBefore(reportedFleetSums_, firstKeptWindow_);
 }
 
 void FleetUsage::forgetBefore(std::int64_t firstWindow) {
-  if (firstWindow <= firstKept_) return;
-  firstKept_ = firstWindow;
-  for (auto& [key, known] : incarnations_) {
-    if (!known.speaks) dropBefore(known, firstWindow);
-    known.speaks = false;
+  if (firstWindow <= firstKeptWindow_) return;
+  firstKeptWindow_ = firstWindow;
+  for (auto& [key, record] : incarnations_) {
+    if (!record.selfReported) dropBefore(record, firstWindow);
+    record.selfReported = false;
   }
   std::erase_if(incarnations_, [](const auto& entry) { return entry.second.usage.empty(); });
-  for (auto& [domain, sums] : toldOfDomains_) eraseBefore(sums, firstWindow);
-  eraseBefore(toldOfFleet_, firstWindow);
+  for (auto& [domain, sums] : reportedDomainSums_) eraseBefore(sums, firstWindow);
+  eraseBefore(reportedFleetSums_, firstWindow);
 }
 
 UsageByWindow FleetUsage::ownDomain() const {
-  const auto sums = sums_.find(self_.domain);
-  return sums == sums_.end() ? UsageByWindow{} : sums->second;
+  const auto sums = domainSums_.find(self_.domain);
+  return sums == domainSums_.end() ? UsageByWindow{} : sums->second;
 }
 
-UsageByWindow FleetUsage::tellable() const {
-  std::map<DomainName, UsageByWindow> domains = sums_;
-  for (const auto& [domain, sums] : toldOfDomains_) raiseUsage(domains[domain], sums);
+UsageByWindow FleetUsage::forwardable() const {
+  std::map<DomainName, UsageByWindow> domains = domainSums_;
+  for (const auto& [domain, sums] : reportedDomainSums_) raiseUsage(domains[domain], sums);
   UsageByWindow total;
   for (const auto& [domain, sums] : domains) addUsage(total, sums);
   return total;
 }
 
 UsageByWindow FleetUsage::elsewhere() const {
-  UsageByWindow total = tellable();
-  raiseUsage(total, toldOfFleet_);
+  UsageByWindow total = forwardable();
+  raiseUsage(total, reportedFleetSums_);
   return total;
 }
 
-UsageByWindow FleetUsage::since(const FleetMember& member) const {
+UsageByWindow FleetUsage::usageSince(const FleetMember& member) const {
   UsageByWindow usage;
   auto it = incarnations_.lower_bound({member.daemon, member.incarnation});
   for (; it != incarnations_.end() && it->first.first == member.daemon; ++it) {
--- a/Hallchute/src/Fleet/FleetUsage.h
+++ b/Hallchute/src/Fleet/FleetUsage.h
@@ -15,71 +15,74 @@
 
 namespace Hallchute {
 
-/// \brief The usage of all other daemons, by what they and their relays tell. One thread; no I/O,
-/// no clock. \ingroup Fleet
+/// \brief Usage of all other daemons, merged from their reports and those of relays. Not
+/// thread-safe; does no I/O and reads no clock. \ingroup Fleet
 ///
-/// An incarnation's count of a window only rises, and every sum told is a sum of such counts: each
-/// word is a lower bound of what it speaks for, whoever told it and however old it is. So of two
-/// words the higher one stands, and a relay that ends, restarts or is replaced takes nothing away
-/// and counts nothing twice. Cost: a word's entries for each note, those of all sums for a total.
+/// An incarnation's count of a window never decreases, and every reported sum is a sum of such
+/// counts: each report is a lower bound of what it covers, whatever its sender and age. So merging
+/// takes the maximum, and a relay that stops, restarts or is replaced neither loses usage nor
+/// counts it twice. Cost: each note is linear in the report's entries, each total in those of all
+/// sums.
 class FleetUsage {
  public:
   explicit FleetUsage(FleetMember self) : self_(std::move(self)) {}
 
-  /// \brief What an incarnation tells of itself.
+  /// \brief Records the usage that an incarnation reports of itself.
   void noteOwnWord(const FleetMember& member, const UsageByWindow& usage);
-  /// \brief What another daemon tells of an incarnation.
-  void noteHearsay(const IncarnationUsage& word);
-  /// \brief What a relay of another failure domain tells of all its daemons.
+  /// \brief Records the usage of an incarnation as reported by another daemon.
+  void noteHearsay(const IncarnationUsage& report);
+  /// \brief Records the sums that a relay of another failure domain reports for its daemons.
   void noteDomainSums(const DomainName& domain, const UsageByWindow& sums);
-  /// \brief What a relay tells this daemon of all others.
+  /// \brief Records the sums that a relay reports to this daemon for all others.
   void noteFleetSums(const UsageByWindow& sums);
-  /// \brief Drops windows before \p firstWindow; a daemon that still tells of itself drops its own.
+  /// \brief Drops windows before \p firstWindow, except those of incarnations that still report
+  /// their own usage and drop them themselves.
   void forgetBefore(std::int64_t firstWindow);
 
-  /// \brief Usage of all but this incarnation.
+  /// \brief Usage of all daemons and incarnations except this incarnation.
   UsageByWindow elsewhere() const;
-  /// \brief The same by single incarnations and other domains' sums alone: what a relay may tell
-  /// on, as it knows each receiver's own part of it.
-  UsageByWindow tellable() const;
-  /// \brief What is known of this daemon's failure domain, without this incarnation.
+  /// \brief The same from single incarnations and other domains' sums only. A relay may forward it,
+  /// as it can subtract each receiver's own part.
+  UsageByWindow forwardable() const;
+  /// \brief Usage of this daemon's failure domain without this incarnation.
   UsageByWindow ownDomain() const;
-  /// \brief What is known of an incarnation and of later ones of the same daemon.
-  UsageByWindow since(const FleetMember& member) const;
-  /// \brief The incarnations that \p chosen picks by daemon, number and domain.
+  /// \brief Usage of an incarnation and of later ones of the same daemon.
+  UsageByWindow usageSince(const FleetMember& member) const;
+  /// \brief The incarnations for which \p chosen(daemon, number, domain) returns true.
   template <typename Chosen>
   std::vector<IncarnationUsage> incarnations(Chosen chosen) const {
-    std::vector<IncarnationUsage> told;
-    for (const auto& [key, known] : incarnations_) {
-      if (known.usage.empty() || !chosen(key.first, key.second, known.domain)) continue;
-      told.push_back({key.first, key.second, known.domain, known.usage});
+    std::vector<IncarnationUsage> reported;
+    for (const auto& [key, record] : incarnations_) {
+      if (record.usage.empty() || !chosen(key.first, key.second, record.domain)) continue;
+      reported.push_back({key.first, key.second, record.domain, record.usage});
     }
-    return told;
+    return reported;
   }
 
  private:
   using Incarnation = std::pair<DaemonId, std::uint64_t>;
-  struct Known {
+  struct IncarnationRecord {
     DomainName domain;
     UsageByWindow usage;
-    /// It has told of itself since windows were dropped last.
-    bool speaks = false;
+    /// Whether it has reported its own usage since windows were last dropped.
+    bool selfReported = false;
   };
 
   bool isSelf(const DaemonId& daemon, std::uint64_t incarnation) const;
-  Known& incarnation(const DaemonId& daemon, std::uint64_t number, const DomainName& domain);
-  /// Raises what is known of an incarnation, and its domain's sum with it.
-  void raise(Known& known, const UsageByWindow& told);
-  void dropBefore(Known& known, std::int64_t firstWindow);
+  IncarnationRecord& incarnation(const DaemonId& daemon, std::uint64_t number,
+                                 const DomainName& domain);
+  /// Raises the counts of an incarnation to those reported, and its domain's sum accordingly.
+  void raiseRecord(IncarnationRecord& record, const UsageByWindow& reported);
+  void dropBefore(IncarnationRecord& record, std::int64_t firstWindow);
 
   FleetMember self_;
-  std::map<Incarnation, Known> incarnations_;
-  /// Sums of `incarnations_` by domain, kept as they rise: a relay of a large fleet needs them
-  /// several times a second, and has hundreds of incarnations to add.
-  std::map<DomainName, UsageByWindow> sums_;
-  std::map<DomainName, UsageByWindow> toldOfDomains_;
-  UsageByWindow toldOfFleet_;
-  std::int64_t firstKept_ = 0;
+  std::map<Incarnation, IncarnationRecord> incarnations_;
+  /// Sums of `incarnations_` by domain, updated incrementally: a relay of a large fleet needs them
+  /// several times a second and would have to add hundreds of incarnations.
+  std::map<DomainName, UsageByWindow> domainSums_;
+  std::map<DomainName, UsageByWindow> reportedDomainSums_;
+  UsageByWindow reportedFleetSums_;
+  std::int64_t firstKeptWindow_ = 0;
 };
 
 }  // namespace Hallchute
--- a/Hallchute/src/Fleet/FleetView.cpp
+++ b/Hallchute/src/Fleet/FleetView.cpp
@@ -11,28 +11,29 @@
 namespace Hallchute {
 namespace {
 
-/// How often unchanged members are told again, for receivers that missed them.
-constexpr Millis kMembersEvery{2'000};
-/// After its start a daemon takes the others' clock at once: its host's may be wrong from the
-/// beginning. Several report periods more than it takes to hear them.
-constexpr Millis kComparing{3'000};
-/// How often usage is told by incarnation, which is many times the length of the sums that every
-/// report holds: well within the 2.5 s from a window's end until its counts are taken.
-constexpr Millis kUsageEvery{1'000};
-/// How long a relay that a stronger daemon took over from still tells its domain of all others,
-/// that daemon among them: three report periods. Without it they hear nobody until the old one
-/// counts as silent, and take themselves for relays.
-constexpr Millis kHandOver{600};
-/// Daemons of an unheard domain that a relay tries at a time: the strongest may be down.
-constexpr std::size_t kTriedOfDomain = 3;
-/// How long each further one is tried: a few report periods.
-constexpr Millis kTryTurn{600};
-/// How long an address is reported to after anything was last learned of its daemon.
-constexpr Millis kTriedFor{60'000};
+/// How often an unchanged member list is sent again, for receivers that missed it.
+constexpr Millis kMembersInterval{2'000};
+/// For this long after its start a daemon adopts the peers' clock at once, as its host's clock may
+/// have been wrong from the start. Several report periods more than discovery takes.
+constexpr Millis kClockSyncTime{3'000};
+/// How often usage by incarnation is sent; it is many times the size of the sums in every report.
+/// Well within the 2.5 s between a window's end and the time its counts are read.
+constexpr Millis kUsageInterval{1'000};
+/// How long a relay that was replaced keeps sending its domain the fleet report, which lists the
+/// new relay: three report periods. Otherwise the domain's daemons receive nothing until the old
+/// relay times out, and take themselves for relays.
+constexpr Millis kRelayHandover{600};
+/// Daemons of an unreachable domain that a relay contacts at a time: the highest-ranked may be
+/// down.
+constexpr std::size_t kCandidatesPerDomain = 3;
+/// How long each further candidate is contacted: a few report periods.
+constexpr Millis kCandidateInterval{600};
+/// How long reports are sent to a daemon's address after the daemon was last seen.
+constexpr Millis kContactExpiry{60'000};
 
 }  // namespace
 
-bool FleetView::counts(const FleetReport& report, Instant now) const {
+bool FleetView::countsInSums(const FleetReport& report, Instant now) const {
   const bool ownDomain = report.self.domain == self().domain;
   switch (report.scope) {
     case ReportScope::everybody:
@@ -53,58 +54,59 @@
   if (report.self.daemon == self().daemon) return update;
   FleetPeer& peer = roster_.peers()[report.self.daemon];
   FleetReport& last = peer.report;
-  // A late word of the process before; a lower one that stays is a start after the host's clock was
-  // set back.
-  const bool earlier = report.self.incarnation < last.self.incarnation;
-  if (earlier && FleetPeer::within(peer.reported, now, FleetPeer::kHeardFor)) return update;
-  const bool heardBefore = peer.reported != Instant{};
-  const bool sameLife = report.self.incarnation == last.self.incarnation;
-  update.newIncarnation = !heardBefore || !sameLife;
-  // What a daemon spent before it was first heard of, or summed over another scope, was not spent
-  // just now; what one spent out of reach came out of the part that was left to it; what one spent
-  // since its restart counts.
-  const bool unbroken = FleetPeer::within(peer.reported, now, FleetPeer::kHeardFor);
-  const bool comparable = unbroken && sameLife && report.scope == last.scope;
-  const bool fresh = heardBefore && !sameLife;
-  if ((comparable || fresh) && counts(report, now)) {
+  // A lower incarnation is a delayed report of the previous process, unless the known incarnation
+  // has gone silent: then the daemon restarted after its host's clock was set back.
+  const bool lowerIncarnation = report.self.incarnation < last.self.incarnation;
+  if (lowerIncarnation && FleetPeer::isRecent(peer.reportedAt, now, FleetPeer::kLivenessTimeout))
+    return update;
+  const bool hadReported = peer.reportedAt != Instant{};
+  const bool sameIncarnation = report.self.incarnation == last.self.incarnation;
+  update.newIncarnation = !hadReported || !sameIncarnation;
+  // Not counted as new spending: totals of a daemon's first report, totals over another scope, and
+  // spending while unreachable, which came out of the share reserved for that daemon. Spending
+  // since a restart counts.
+  const bool continuous = FleetPeer::isRecent(peer.reportedAt, now, FleetPeer::kLivenessTimeout);
+  const bool comparable = continuous && sameIncarnation && report.scope == last.scope;
+  const bool restarted = hadReported && !sameIncarnation;
+  if ((comparable || restarted) && countsInSums(report, now)) {
     for (const auto& [organisation, spent] : report.spent) {
       const auto before = last.spent.find(organisation);
-      const bool from = comparable && before != last.spent.end();
-      const double more = spent - (from ? before->second : 0);
-      if (more > 0) update.spentMore[organisation] = more;
+      const bool hasBase = comparable && before != last.spent.end();
+      const double increase = spent - (hasBase ? before->second : 0);
+      if (increase > 0) update.spentMore[organisation] = increase;
     }
-    countSpent(peer, report.scope, update.spentMore);
+    recordSpent(peer, report.scope, update.spentMore);
   }
   for (const UpstreamIncarnation& upstream : report.draining) {
-    const auto& seen = last.draining;
-    if (std::find(seen.begin(), seen.end(), upstream) == seen.end()) {
+    const auto& previous = last.draining;
+    if (std::find(previous.begin(), previous.end(), upstream) == previous.end()) {
       update.draining.push_back(upstream);
     }
   }
   std::vector<FleetMember> members = report.members;
   if (report.membersUnchanged) members = std::move(last.members);
-  // Its word may make or end a relay.
+  // The report may change which daemon is the relay.
   if (update.newIncarnation || report.leaving || !peer.alive(now) || last.self != report.self) {
-    roster_.forgetElection();
+    roster_.invalidateElection();
   }
   peer.report = report;
-  peer.reported = now;
-  peer.seen = now;
+  peer.reportedAt = now;
+  peer.lastSeenAt = now;
   peer.clockOffset = report.wallClock - std::chrono::duration_cast<Millis>(now.time_since_epoch());
-  roster_.noteMembers(report.scope, members, now);
+  roster_.updateMembers(report.scope, members, now);
   peer.report.members = std::move(members);
-  learnUsage(report);
+  recordUsage(report);
   return update;
 }
 
-void FleetView::countSpent(FleetPeer& sender, ReportScope scope, const SpentQuota& more) {
+void FleetView::recordSpent(FleetPeer& sender, ReportScope scope, const SpentQuota& more) {
   if (scope == ReportScope::domain) addSpent(spentByDomains_, more);
   if (scope != ReportScope::member) return;
   addSpent(spentByMembers_, more);
   addSpent(sender.spentAsMember, more);
 }
 
-void FleetView::learnUsage(const FleetReport& report) {
+void FleetView::recordUsage(const FleetReport& report) {
   switch (report.scope) {
     case ReportScope::everybody:
     case ReportScope::member:
@@ -117,19 +119,20 @@
       usage_.noteFleetSums(report.usage);
       break;
   }
-  for (const IncarnationUsage& word : report.incarnations) usage_.noteHearsay(word);
+  for (const IncarnationUsage& counted : report.incarnations) usage_.noteHearsay(counted);
 }
 
-/// Incarnations that can't tell their usage any more, and those whose word ends with this relay.
-std::vector<IncarnationUsage> FleetView::incarnationsToTell(const Round& round, Instant now) const {
+/// Returns the usage of incarnations that no longer report themselves and, on a relay, of its own
+/// domain, which would be lost if this relay failed.
+std::vector<IncarnationUsage> FleetView::incarnationsToSend(const Round& round, Instant now) const {
   const auto chosen = [&](const DaemonId& daemon, std::uint64_t incarnation,
                           const DomainName& domain) {
     if (round.relay && domain == self().domain) return true;
-    return !roster_.speaksForItself(daemon, incarnation, now);
+    return !roster_.isLiveIncarnation(daemon, incarnation, now);
   };
-  std::vector<IncarnationUsage> told = usage_.incarnations(chosen);
-  if (round.relay) told.push_back(ownUsage(round));
-  return told;
+  std::vector<IncarnationUsage> usages = usage_.incarnations(chosen);
+  if (round.relay) usages.push_back(ownUsage(round));
+  return usages;
 }
 
 IncarnationUsage FleetView::ownUsage(const Round& round) const {
@@ -139,62 +142,68 @@
 std::set<std::string> FleetView::targets(Instant now) const {
   const bool small = roster_.isSmall(now);
   const bool relay = !small && roster_.isRelay(now);
-  const bool tellsWards = tellsDomain(now);
+  const bool servesDomain = reportsToDomain(now);
   const DaemonId ownRelay = roster_.relayOf(self().domain, now);
-  std::set<std::string> wanted;
+  std::set<std::string> targetAddresses;
   std::size_t heardDirectly = 0;
   for (const auto& [daemon, peer] : roster_.peers()) {
-    const bool direct = FleetPeer::within(peer.reported, now, FleetPeer::kHeardFor);
+    const bool direct = FleetPeer::isRecent(peer.reportedAt, now, FleetPeer::kLivenessTimeout);
     if (direct) ++heardDirectly;
-    // One that reports to everybody doesn't know yet that there are relays.
+    // A daemon that still reports to all has not learned yet that the fleet uses relays.
     const bool newcomer = peer.report.scope == ReportScope::everybody;
-    const bool ward = tellsWards && peer.report.self.domain == self().domain;
-    bool chosen = (direct && (newcomer || ward || misled(peer, now))) || daemon == ownRelay;
-    if (small) chosen = FleetPeer::within(peer.seen, now, kTriedFor);
+    const bool domainMember = servesDomain && peer.report.self.domain == self().domain;
+    bool chosen =
+        (direct && (newcomer || domainMember || isMistakenRelay(peer, now))) || daemon == ownRelay;
+    if (small) chosen = FleetPeer::isRecent(peer.lastSeenAt, now, kContactExpiry);
     if (relay && roster_.relayOf(peer.report.self.domain, now) == daemon) chosen = true;
-    if (chosen) wanted.insert(peer.report.self.address);
+    if (chosen) targetAddresses.insert(peer.report.self.address);
   }
-  if (relay) addLostDomains(wanted, now);
-  // A daemon that hears nobody, and a relay, keep in touch with where newcomers turn to.
+  if (relay) addUnreachableDomains(targetAddresses, now);
+  // Relays, and daemons without live peers, keep reporting to the seed addresses, which new daemons
+  // contact first.
   if (small || relay || heardDirectly == 0) {
-    wanted.insert(roster_.addresses().begin(), roster_.addresses().end());
+    targetAddresses.insert(roster_.addresses().begin(), roster_.addresses().end());
   }
   if (small) {
     for (const auto& [daemon, peer] : roster_.peers()) {
-      if (!FleetPeer::within(peer.seen, now, kTriedFor)) wanted.erase(peer.report.self.address);
+      if (!FleetPeer::isRecent(peer.lastSeenAt, now, kContactExpiry))
+        targetAddresses.erase(peer.report.self.address);
     }
   }
-  wanted.erase(self().address);
-  return wanted;
+  targetAddresses.erase(self().address);
+  return targetAddresses;
 }
 
-/// Takes itself for a relay and isn't: after the right one stood still for a second the two may
-/// not know of each other, and each carries a part of the domain that nobody adds up. Whoever hears
-/// such a one tells it of the right one. Without it 49 of 59 loads were heard for good after a
-/// stall (virtual time, 60 daemons).
-bool FleetView::misled(const FleetPeer& peer, Instant now) const {
+/// Whether \p peer acts as a relay although another daemon is the elected one. After the elected
+/// relay stalls for a second, the two may not know of each other, and each aggregates a part of the
+/// domain that nobody adds up. Every daemon that receives such a report therefore answers with the
+/// elected relay. Without this, only 49 of 59 loads were received from a stall on, permanently
+/// (virtual time, 60 daemons).
+bool FleetView::isMistakenRelay(const FleetPeer& peer, Instant now) const {
   const FleetMember& member = peer.report.self;
   return peer.report.scope == ReportScope::domain && !peer.report.leaving &&
          roster_.relayOf(member.domain, now) != member.daemon;
 }
 
-/// A relay turns to daemons it once knew of each domain that it doesn't hear, and of its own: after
-/// a relay's end each of its daemons takes itself for the next one until it hears a stronger one.
-void FleetView::addLostDomains(std::set<std::string>& wanted, Instant now) const {
-  std::map<DomainName, std::vector<const FleetMember*>> lost;
+/// Adds formerly known daemons of each domain without a live relay, and of the own domain: after a
+/// relay stops, each daemon of its domain takes itself for the next relay until it receives a
+/// report of a higher-ranked one.
+void FleetView::addUnreachableDomains(std::set<std::string>& targetAddresses, Instant now) const {
+  std::map<DomainName, std::vector<const FleetMember*>> unreachable;
   for (const auto& [daemon, peer] : roster_.peers()) {
     const FleetMember& member = peer.report.self;
-    if (!FleetPeer::within(peer.seen, now, kTriedFor) || peer.alive(now)) continue;
+    if (!FleetPeer::isRecent(peer.lastSeenAt, now, kContactExpiry) || peer.alive(now)) continue;
     const bool own = member.domain == self().domain;
-    if (own || roster_.relayOf(member.domain, now).empty()) lost[member.domain].push_back(&member);
+    if (own || roster_.relayOf(member.domain, now).empty())
+      unreachable[member.domain].push_back(&member);
   }
-  for (auto& [domain, members] : lost) {
-    std::sort(members.begin(), members.end(), FleetRoster::isStronger);
-    const std::size_t strongest = std::min(members.size(), kTriedOfDomain);
-    for (std::size_t i = 0; i < strongest; ++i) wanted.insert(members[i]->address);
-    // All of them may be down: the others are tried by turns.
-    const auto turn = static_cast<std::size_t>(now.time_since_epoch() / kTryTurn);
-    wanted.insert(members[turn % members.size()]->address);
+  for (auto& [domain, members] : unreachable) {
+    std::sort(members.begin(), members.end(), FleetRoster::ranksHigher);
+    const std::size_t candidates = std::min(members.size(), kCandidatesPerDomain);
+    for (std::size_t i = 0; i < candidates; ++i) targetAddresses.insert(members[i]->address);
+    // All of these may be down: the others are contacted in rotation.
+    const auto turn = static_cast<std::size_t>(now.time_since_epoch() / kCandidateInterval);
+    targetAddresses.insert(members[turn % members.size()]->address);
   }
 }
 
@@ -203,28 +212,29 @@
   std::vector<Millis> offsets{wallClock - monotonic};
   for (const auto& [daemon, peer] : roster_.peers()) {
     const FleetReport& report = peer.report;
-    const bool fresh = FleetPeer::within(peer.reported, now, FleetPeer::kHeardFor);
+    const bool fresh = FleetPeer::isRecent(peer.reportedAt, now, FleetPeer::kLivenessTimeout);
     if (!fresh || report.wallClock == Millis(0)) continue;
-    // A relay speaks for all: its members hear nobody else to compare with.
+    // A relay's clock is the fleet's, and its members receive no other clock: it gets twice the
+    // weight, to outvote the own host.
     const std::size_t weight = report.scope == ReportScope::fleet ? 2 : 1;
     offsets.insert(offsets.end(), weight, peer.clockOffset);
   }
-  clock_.adjust(std::move(offsets), now - roster_.started() < kComparing, now);
+  clock_.adjust(std::move(offsets), now - roster_.started() < kClockSyncTime, now);
 }
 
-void FleetView::noteWhoIsHeard(Instant now) {
-  const bool all = roster_.hasMet(now) && roster_.heard(now) >= roster_.known(now);
-  if (!all) hearsAllSince_.reset();
-  if (all && !hearsAllSince_) hearsAllSince_ = now;
+void FleetView::updateAllLiveSince(Instant now) {
+  const bool all = roster_.hasMet(now) && roster_.liveCount(now) >= roster_.expectedCount(now);
+  if (!all) allLiveSince_.reset();
+  if (all && !allLiveSince_) allLiveSince_ = now;
 }
 
 bool FleetView::usageComplete(Instant now) const {
-  const Millis toTell = kUsageEvery + 2 * roster_.reportLag(now);
-  return hearsAllSince_ && now - *hearsAllSince_ >= toTell;
+  const Millis propagationTime = kUsageInterval + 2 * roster_.reportLag(now);
+  return allLiveSince_ && now - *allLiveSince_ >= propagationTime;
 }
 
 std::vector<AddressedReport> FleetView::compose(const FleetReport& own, Instant now) {
-  noteWhoIsHeard(now);
+  updateAllLiveSince(now);
   std::map<std::string, FleetPeer*> byAddress;
   for (auto& [daemon, peer] : roster_.peers()) byAddress[peer.report.self.address] = &peer;
   const Round round = beginRound(own, now);
@@ -237,71 +247,72 @@
   return reports;
 }
 
-bool FleetView::tellsDomain(Instant now) const {
+bool FleetView::reportsToDomain(Instant now) const {
   return !roster_.isSmall(now) &&
-         (roster_.isRelay(now) || FleetPeer::within(relayedAt_, now, kHandOver));
+         (roster_.isRelay(now) || FleetPeer::isRecent(lastRelayAt_, now, kRelayHandover));
 }
 
 FleetView::Round FleetView::beginRound(const FleetReport& own, Instant now) {
   Round round;
   round.small = roster_.isSmall(now);
   round.relay = !round.small && roster_.isRelay(now);
-  if (round.relay) relayedAt_ = now;
-  round.tellsDomain = tellsDomain(now);
+  if (round.relay) lastRelayAt_ = now;
+  round.reportsToDomain = reportsToDomain(now);
   round.own = own;
   round.own.self = self();
   if (!round.small) round.own.scope = ReportScope::member;
-  membersTold_ = sameOrNew(membersTold_, membersToTell(round, now));
-  round.members = membersTold_;
-  if (now - usageTold_ >= kUsageEvery) {
-    usageTold_ = now;
-    round.deputy = roster_.deputy(now);
-    round.incarnations = incarnationsToTell(round, now);
+  sentMembers_ = reuseIfEqual(sentMembers_, membersToSend(round, now));
+  round.members = sentMembers_;
+  if (now - usageSentAt_ >= kUsageInterval) {
+    usageSentAt_ = now;
+    round.standby = roster_.standby(now);
+    round.incarnations = incarnationsToSend(round, now);
   }
   if (round.relay) {
     round.domain = round.own;
     round.domain.wallClock = clock_.at(now);
-    addDomain(round.domain, now);
+    addDomainTotals(round.domain, now);
     round.domain.incarnations = round.incarnations;
   }
-  if (round.tellsDomain) {
+  if (round.reportsToDomain) {
     round.fleet = round.own;
     round.fleet.wallClock = clock_.at(now);
-    addFleet(round.fleet, now);
+    addFleetTotals(round.fleet, now);
   }
   return round;
 }
 
-/// Whom a report names to a receiver that it has most in common with: small fleets name all, a
-/// relay the daemons that are heard, any other daemon the relays.
-std::vector<FleetMember> FleetView::membersToTell(const Round& round, Instant now) const {
+/// Returns the member list for receivers in the own domain, and for all receivers in a small fleet.
+/// Small fleets list all daemons, a relay lists the live daemons, any other daemon the relays.
+std::vector<FleetMember> FleetView::membersToSend(const Round& round, Instant now) const {
   std::vector<FleetMember> members;
   if (!round.small) members.push_back(self());
   for (const auto& [daemon, peer] : roster_.peers()) {
     const FleetMember& member = peer.report.self;
-    // Whoever asks a daemon that is no relay learns whom to turn to.
-    const bool named = round.small         ? FleetPeer::within(peer.seen, now, FleetPeer::kKnownFor)
-                       : round.tellsDomain ? peer.alive(now)
-                                           : roster_.relayOf(member.domain, now) == daemon;
+    // A daemon that contacts a non-relay learns the relays' addresses.
+    const bool named = round.small
+                           ? FleetPeer::isRecent(peer.lastSeenAt, now, FleetPeer::kPeerRetention)
+                       : round.reportsToDomain ? peer.alive(now)
+                                               : roster_.relayOf(member.domain, now) == daemon;
     if (named) members.push_back(member);
   }
   return members;
 }
 
-/// \param target null if nobody is known at the address.
+/// \param target null if no daemon is known at the address.
 FleetReport FleetView::reportFor(const Round& round, FleetPeer* target, Instant now) const {
-  if (target == nullptr) return reportToStranger(round);
+  if (target == nullptr) return reportToUnknown(round);
   const FleetMember& receiver = target->report.self;
   if (receiver.domain != self().domain) {
     return round.relay ? domainReport(round, *target, now) : ownReport(round, *target, now);
   }
-  // The relay that took this one's place is told as by any other daemon.
+  // A relay that replaced this one gets the report of an ordinary member.
   const bool toRelay = !round.relay && roster_.relayOf(self().domain, now) == receiver.daemon;
-  const bool tellsAll = round.tellsDomain && !toRelay;
-  return tellsAll ? fleetReport(round, *target, now) : ownReport(round, *target, now);
+  const bool sendsFleetReport = round.reportsToDomain && !toRelay;
+  return sendsFleetReport ? fleetReport(round, *target, now) : ownReport(round, *target, now);
 }
 
-FleetReport FleetView::reportToStranger(const Round& round) {
+FleetReport FleetView::reportToUnknown(const Round& round) {
   if (round.relay) return round.domain;
   FleetReport report = round.own;
   report.members = *round.members;
@@ -310,52 +321,54 @@
 
 FleetReport FleetView::ownReport(const Round& round, FleetPeer& receiver, Instant now) const {
   FleetReport report = round.own;
-  if (round.small || round.deputy == self().daemon) report.incarnations = round.incarnations;
-  tellMembers(report, round.members, receiver, now);
+  if (round.small || round.standby == self().daemon) report.incarnations = round.incarnations;
+  attachMembers(report, round.members, receiver, now);
   return report;
 }
 
-/// What another domain is told: the own domain's sums, and who the other domains' relays are.
+/// Report to another domain: the own domain's sums and the other domains' relays.
 FleetReport FleetView::domainReport(const Round& round, FleetPeer& receiver, Instant now) const {
   FleetReport report = round.domain;
   addRelays(report, receiver.report.self, now);
-  tellMembers(report, sameOrNew(receiver.sentMembers, std::move(report.members)), receiver, now);
+  attachMembers(report, reuseIfEqual(receiver.lastSentMembers, std::move(report.members)), receiver,
+                now);
   return report;
 }
 
-/// \returns \p before if it holds the same: who was sent a list is known by the list itself.
-FleetPeer::MemberList FleetView::sameOrNew(const FleetPeer::MemberList& before,
-                                           std::vector<FleetMember> members) {
+/// \returns \p before if it is equal, as lists that were sent are compared by pointer.
+FleetPeer::MemberList FleetView::reuseIfEqual(const FleetPeer::MemberList& before,
+                                              std::vector<FleetMember> members) {
   if (before != nullptr && *before == members) return before;
   return std::make_shared<const std::vector<FleetMember>>(std::move(members));
 }
 
-/// \param members the very list that \p target was last sent, if it holds the same.
-void FleetView::tellMembers(FleetReport& report, FleetPeer::MemberList members, FleetPeer& target,
-                            Instant now) const {
-  const bool unchanged = target.sentMembers == members;
-  report.membersUnchanged = unchanged && FleetPeer::within(target.membersSent, now, kMembersEvery);
+/// \param members the same object that \p target was last sent if the list is unchanged.
+void FleetView::attachMembers(FleetReport& report, FleetPeer::MemberList members, FleetPeer& target,
+                              Instant now) const {
+  const bool unchanged = target.lastSentMembers == members;
+  report.membersUnchanged =
+      unchanged && FleetPeer::isRecent(target.membersSentAt, now, kMembersInterval);
   report.members.clear();
   if (report.membersUnchanged) return;
   report.members = *members;
-  target.sentMembers = std::move(members);
-  target.membersSent = now;
+  target.lastSentMembers = std::move(members);
+  target.membersSentAt = now;
 }
 
-/// The relays of all domains that this one hears: those of two domains without seeds find each
-/// other by a third one, and a daemon of such a domain its own relay.
+/// Adds the other domains' relays that report to this one directly. Relays of two domains without
+/// seeds discover each other through a third relay, and daemons of such a domain their own relay.
 void FleetView::addRelays(FleetReport& report, const FleetMember& receiver, Instant now) const {
   for (const auto& [daemon, peer] : roster_.peers()) {
     const DomainName& domain = peer.report.self.domain;
     if (domain == self().domain || daemon == receiver.daemon) continue;
-    // One that is only named by others isn't vouched for: two relays would keep a daemon alive that
-    // ended.
-    if (!FleetPeer::within(peer.reported, now, FleetPeer::kHeardFor)) continue;
+    // Daemons that are only listed by others are skipped: otherwise two relays would keep
+    // confirming to each other that a stopped daemon is alive.
+    if (!FleetPeer::isRecent(peer.reportedAt, now, FleetPeer::kLivenessTimeout)) continue;
     if (roster_.relayOf(domain, now) == daemon) report.members.push_back(peer.report.self);
   }
 }
 
-void FleetView::addSums(FleetReport& report, const FleetPeer& source) const {
+void FleetView::addPeerTotals(FleetReport& report, const FleetPeer& source) const {
   addLoads(report.loads, source.report.loads);
   for (const UpstreamIncarnation& upstream : source.report.draining) {
     if (std::find(report.draining.begin(), report.draining.end(), upstream) ==
@@ -365,7 +378,7 @@
   }
 }
 
-void FleetView::addDomain(FleetReport& report, Instant now) const {
+void FleetView::addDomainTotals(FleetReport& report, Instant now) const {
   report.scope = ReportScope::domain;
   report.members = {self()};
   addSpent(report.spent, spentByMembers_);
@@ -373,41 +386,43 @@
   for (const auto& [daemon, peer] : roster_.peers()) {
     if (peer.report.self.domain != self().domain) continue;
     if (peer.report.scope != ReportScope::member) continue;
-    if (!FleetPeer::within(peer.reported, now, FleetPeer::kHeardFor)) continue;
+    if (!FleetPeer::isRecent(peer.reportedAt, now, FleetPeer::kLivenessTimeout)) continue;
     report.members.push_back(peer.report.self);
-    addSums(report, peer);
+    addPeerTotals(report, peer);
   }
 }
 
-/// The sums of all, the receiver among them.
-void FleetView::addFleet(FleetReport& report, Instant now) const {
+/// Adds the sums of all daemons, including the receiver's part.
+void FleetView::addFleetTotals(FleetReport& report, Instant now) const {
   report.scope = ReportScope::fleet;
   addSpent(report.spent, spentByMembers_);
   addSpent(report.spent, spentByDomains_);
-  addUsage(report.usage, usage_.tellable());
+  addUsage(report.usage, usage_.forwardable());
   for (const auto& [daemon, peer] : roster_.peers()) {
-    if (peer.reported != Instant{} && counts(peer.report, now)) addSums(report, peer);
+    if (peer.reportedAt != Instant{} && countsInSums(peer.report, now)) addPeerTotals(report, peer);
   }
 }
 
-/// What a member of the own domain is told: all sums but its own part.
+/// Report to a member of the own domain: the sums of all daemons less the receiver's own part.
 FleetReport FleetView::fleetReport(const Round& round, FleetPeer& receiver, Instant now) const {
   FleetReport report = round.fleet;
-  const FleetReport& told = receiver.report;
-  takeOff(report.spent, receiver.spentAsMember);
-  takeOff(report.usage, usage_.since(told.self));
-  if (receiver.reported != Instant{} && counts(told, now)) takeOff(report.loads, told.loads);
-  if (round.deputy == told.self.daemon) report.incarnations = round.incarnations;
-  // Its successor hears nothing else of what this daemon serves while it leaves.
+  const FleetReport& lastReport = receiver.report;
+  subtract(report.spent, receiver.spentAsMember);
+  subtract(report.usage, usage_.usageSince(lastReport.self));
+  if (receiver.reportedAt != Instant{} && countsInSums(lastReport, now))
+    subtract(report.loads, lastReport.loads);
+  if (round.standby == lastReport.self.daemon) report.incarnations = round.incarnations;
+  // The successor learns only from this report what this daemon serves while shutting down.
   if (report.leaving) report.incarnations.push_back(ownUsage(round));
-  tellMembers(report, round.members, receiver, now);
+  attachMembers(report, round.members, receiver, now);
   return report;
 }
 
 UpstreamLoads FleetView::loadsElsewhere(Instant now) const {
   UpstreamLoads loads;
   for (const auto& [daemon, peer] : roster_.peers()) {
-    if (FleetPeer::within(peer.reported, now, FleetPeer::kHeardFor) && counts(peer.report, now)) {
+    if (FleetPeer::isRecent(peer.reportedAt, now, FleetPeer::kLivenessTimeout) &&
+        countsInSums(peer.report, now)) {
       addLoads(loads, peer.report.loads);
     }
   }
--- a/Hallchute/src/Fleet/FleetView.h
+++ b/Hallchute/src/Fleet/FleetView.h
@@ -22,152 +22,153 @@
 
 namespace Hallchute {
 
-/// \brief What a report told that was not known before. \ingroup Fleet
+/// \brief Changes that a received report brings. \ingroup Fleet
 struct FleetUpdate {
   SpentQuota spentMore;
   std::vector<UpstreamIncarnation> draining;
-  /// The sender was not heard of, or has restarted.
+  /// The sender reported for the first time or has restarted.
   bool newIncarnation = false;
 };
 
-/// \brief A report and where it goes. \ingroup Fleet
+/// \brief A report and its destination address. \ingroup Fleet
 struct AddressedReport {
   std::string address;
   FleetReport report;
 };
 
-/// \brief The other daemons by their reports. One thread; no I/O, no clock.
-/// \ingroup Fleet
+/// \brief Aggregates the reports of the other daemons and composes this daemon's own. Not
+/// thread-safe; does no I/O and reads no clock. \ingroup Fleet
 ///
-/// In a small fleet every daemon reports to every other one. In a larger one the strongest daemon
-/// of each failure domain is its relay: its domain's daemons report to it, relays report their
-/// domains' sums to each other, and each relay tells its domain's daemons the sums of all others.
-/// A silent relay is replaced by the next strongest. Cost for a daemon: one report each way a
-/// period; for a relay: one each way for each daemon of its domain and each other domain, and one
-/// pass over all daemons for the sums that they hold.
+/// In a small fleet every daemon reports to every other one. In a larger one the daemon with the
+/// most capacity in each failure domain is its relay: the domain's daemons report to it, relays
+/// exchange their domains' sums, and each relay sends its domain's daemons the sums of all others.
+/// A relay that times out is replaced by the next daemon in rank. Cost per report period: for a
+/// daemon, one report each way; for a relay, one each way for each daemon of its domain and for
+/// each other domain, and one pass over all daemons for the sums.
 class FleetView {
  public:
-  /// \param started when this daemon began: it needs a moment to meet the others.
+  /// \param started when this daemon started; discovery of its peers is timed from here.
   explicit FleetView(FleetMember self, Instant started = {})
       : roster_(std::move(self), started), usage_(roster_.self()) {}
 
-  /// \brief Addresses to report to until their daemons are known.
+  /// \brief Adds addresses to report to until their daemons are discovered.
   void addAddresses(std::span<const std::string> addresses) { roster_.addAddresses(addresses); }
-  /// \brief Compares the host's wall clock, in time since the start of 1970, with those of the
-  /// others; to be called before the first compose() and regularly.
+  /// \brief Compares the host's wall clock, as time since the Unix epoch, with those of the other
+  /// daemons; to be called before the first compose() and periodically.
   void noteWallClock(Millis wallClock, Instant now);
-  /// \brief The wall clock that the daemons share; see FleetClock.
+  /// \brief The fleet-wide wall clock; see FleetClock.
   const FleetClock& clock() const { return clock_; }
   FleetUpdate receive(const FleetReport& report, Instant now);
-  /// \brief The reports to send now. \param own what this daemon tells of itself.
+  /// \brief The reports to send now. \param own this daemon's own counters and state.
   std::vector<AddressedReport> compose(const FleetReport& own, Instant now);
-  /// \brief Daemons that are heard of, directly or by a relay, this one included.
-  std::size_t heard(Instant now) const { return roster_.heard(now); }
-  /// \brief Daemons that are likely to run, heard or not, this one included.
-  std::size_t known(Instant now) const { return roster_.known(now); }
-  /// \brief Whether this daemon has had the time to meet the others since its start.
+  /// \brief Number of live daemons, seen directly or through a relay, this one included.
+  std::size_t heard(Instant now) const { return roster_.liveCount(now); }
+  /// \brief Number of daemons that are likely to be running, reachable or not, this one included.
+  std::size_t known(Instant now) const { return roster_.expectedCount(now); }
+  /// \brief Whether this daemon is likely to have discovered the others since its start.
   bool hasMet(Instant now) const { return roster_.hasMet(now); }
-  /// \brief Whether all daemons that are likely to run have been heard for as long as it takes them
-  /// to tell what they know of those that ended.
+  /// \brief Whether all daemons that are likely to be running have been live for as long as they
+  /// need to report the usage of incarnations that ended.
   bool usageComplete(Instant now) const;
-  /// \brief How many daemons the fleet had before this one began, as the store tells. While
-  /// its daemons may still be unheard, the fleet is taken to have at least that many.
+  /// \brief Sets the fleet's size before this daemon started, as recorded in the store. It is a
+  /// lower bound of the assumed size while peers may still be undiscovered.
   void noteEarlierSize(std::size_t daemons) { roster_.noteEarlierSize(daemons); }
-  /// \brief What quotas are kept by: the part of the daemons that is heard, next to nothing while
-  /// nothing tells of their number.
+  /// \brief Input of the quota shares: the fraction of the daemons that is live; close to 0 while
+  /// the size of the fleet is unknown.
   QuotaFleet quotaFleet(Instant now) const { return roster_.quotaFleet(now); }
   UpstreamLoads loadsElsewhere(Instant now) const;
-  /// \brief Usage of all daemons and their earlier incarnations, without this one's own. What was
-  /// counted doesn't age: the moment changes nothing.
+  /// \brief Usage of all daemons and their earlier incarnations, without this incarnation's own.
+  /// The time is ignored, as counted usage doesn't expire.
   UsageByWindow usageElsewhere(Instant) const { return usage_.elsewhere(); }
   void forgetUsageBefore(std::int64_t firstWindow) { usage_.forgetBefore(firstWindow); }
-  /// \brief Whether \p daemon was heard of lately, directly or by a relay; 0 if not, else its
-  /// incarnation.
+  /// \brief The incarnation of \p daemon if it is live, directly or through a relay; 0 otherwise.
   std::uint64_t heardIncarnation(const DaemonId& daemon, Instant now) const {
     return roster_.heardIncarnation(daemon, now);
   }
-  /// \brief All daemons heard of lately with their incarnations, but this one.
+  /// \brief All other live daemons with their incarnations.
   std::map<DaemonId, std::uint64_t> heardOthers(Instant now) const {
     return roster_.heardOthers(now);
   }
-  /// \brief Reports of daemons that were heard directly lately, by name.
+  /// \brief The last reports of daemons that reported to this one recently, in order of their
+  /// names.
   std::vector<const FleetReport*> reports(Instant now) const { return roster_.reports(now); }
   bool isRelay(Instant now) const { return roster_.isRelay(now); }
-  /// \brief The relay of the own failure domain, as far as is heard.
+  /// \brief The relay of the own failure domain as elected locally.
   DaemonId ownRelay(Instant now) const { return roster_.relayOf(self().domain, now); }
-  /// \brief How long what a daemon tells takes to reach all others.
+  /// \brief Time for a report to reach all other daemons.
   Millis reportLag(Instant now) const { return roster_.reportLag(now); }
-  /// \brief Whether the others count on this daemon's watching the store: everybody in a small
-  /// fleet, the two strongest of each failure domain in a larger one.
+  /// \brief Whether this daemon watches the store: all do in a small fleet, in a larger one the two
+  /// highest-ranked of each failure domain.
   bool followsStore(Instant now) const { return roster_.followsStore(now); }
 
  private:
   const FleetMember& self() const { return roster_.self(); }
-  /// The reports of one period, before what differs by receiver.
+  /// The parts of one period's reports that are common to several receivers.
   struct Round {
     bool small = true;
     bool relay = false;
-    /// Whether the daemons of the own domain are told of all others: a relay does, and for a while
-    /// one that was.
-    bool tellsDomain = false;
-    /// One list for all receivers in the own domain.
+    /// Whether to send the fleet report to the daemons of the own domain: true for a relay and, for
+    /// the handover time, a former relay.
+    bool reportsToDomain = false;
+    /// The member list for all receivers in the own domain.
     FleetPeer::MemberList members;
-    /// Told this time, if any; see FleetReport::incarnations.
+    /// Usage by incarnation, empty if not due; see FleetReport::incarnations.
     std::vector<IncarnationUsage> incarnations;
-    /// Set with them: it learns what the relay knows of the own domain and tells what it knows, as
-    /// the relays of all domains may end at once.
-    DaemonId deputy;
-    /// What this daemon tells of itself.
+    /// Set along with `incarnations`. It receives the relay's usage data for the own domain and
+    /// reports its own in turn, as the relays of all domains may fail at once.
+    DaemonId standby;
+    /// This daemon's own report.
     FleetReport own;
-    /// What the own domain's daemons are told.
+    /// Report to the daemons of the own domain.
     FleetReport fleet;
-    /// What other domains are told.
+    /// Report to other domains.
     FleetReport domain;
   };
 
-  /// Whether a report of \p sender counts for sums here, so that nothing counts twice.
-  bool counts(const FleetReport& report, Instant now) const;
-  void learnUsage(const FleetReport& report);
-  std::vector<IncarnationUsage> incarnationsToTell(const Round& round, Instant now) const;
+  /// Whether \p report is included in this daemon's sums, so that nothing is counted twice.
+  bool countsInSums(const FleetReport& report, Instant now) const;
+  void recordUsage(const FleetReport& report);
+  std::vector<IncarnationUsage> incarnationsToSend(const Round& round, Instant now) const;
   IncarnationUsage ownUsage(const Round& round) const;
-  bool tellsDomain(Instant now) const;
+  bool reportsToDomain(Instant now) const;
   std::set<std::string> targets(Instant now) const;
-  bool misled(const FleetPeer& peer, Instant now) const;
-  void addLostDomains(std::set<std::string>& wanted, Instant now) const;
-  void noteWhoIsHeard(Instant now);
+  bool isMistakenRelay(const FleetPeer& peer, Instant now) const;
+  void addUnreachableDomains(std::set<std::string>& targetAddresses, Instant now) const;
+  void updateAllLiveSince(Instant now);
   Round beginRound(const FleetReport& own, Instant now);
   FleetReport reportFor(const Round& round, FleetPeer* target, Instant now) const;
-  static FleetReport reportToStranger(const Round& round);
+  static FleetReport reportToUnknown(const Round& round);
   FleetReport ownReport(const Round& round, FleetPeer& receiver, Instant now) const;
   FleetReport domainReport(const Round& round, FleetPeer& receiver, Instant now) const;
   FleetReport fleetReport(const Round& round, FleetPeer& receiver, Instant now) const;
-  static FleetPeer::MemberList sameOrNew(const FleetPeer::MemberList& before,
-                                         std::vector<FleetMember> members);
-  void tellMembers(FleetReport& report, FleetPeer::MemberList members, FleetPeer& target,
-                   Instant now) const;
-  std::vector<FleetMember> membersToTell(const Round& round, Instant now) const;
+  static FleetPeer::MemberList reuseIfEqual(const FleetPeer::MemberList& before,
+                                            std::vector<FleetMember> members);
+  void attachMembers(FleetReport& report, FleetPeer::MemberList members, FleetPeer& target,
+                     Instant now) const;
+  std::vector<FleetMember> membersToSend(const Round& round, Instant now) const;
   void addRelays(FleetReport& report, const FleetMember& receiver, Instant now) const;
-  void addDomain(FleetReport& report, Instant now) const;
-  void addFleet(FleetReport& report, Instant now) const;
-  void addSums(FleetReport& report, const FleetPeer& source) const;
-  void countSpent(FleetPeer& sender, ReportScope scope, const SpentQuota& more);
+  void addDomainTotals(FleetReport& report, Instant now) const;
+  void addFleetTotals(FleetReport& report, Instant now) const;
+  void addPeerTotals(FleetReport& report, const FleetPeer& source) const;
+  void recordSpent(FleetPeer& sender, ReportScope scope, const SpentQuota& more);
 
   FleetRoster roster_;
-  /// The list that receivers had most in common in the last period.
-  FleetPeer::MemberList membersTold_;
-  /// What this daemon heard of spending as a relay: by its domain's daemons, and by other domains.
-  /// Both only rise, whoever is heard now: receivers take each rise of a relay's sums for spending,
-  /// and a sum that fell with a lost domain would count as spent once more when it is back.
+  /// The last period's member list for receivers in the own domain.
+  FleetPeer::MemberList sentMembers_;
+  /// Spending reported to this daemon as a relay, by its domain's daemons and by other domains.
+  /// Both never decrease, whichever daemons are live: receivers treat each increase of a relay's
+  /// sums as new spending, and a sum that fell with a lost domain would be counted again on its
+  /// return.
   SpentQuota spentByMembers_;
   SpentQuota spentByDomains_;
   FleetUsage usage_;
   FleetClock clock_;
-  /// Since when all that are likely to run are heard.
-  std::optional<Instant> hearsAllSince_;
-  /// When incarnations' usage was told last.
-  Instant usageTold_{};
-  /// When this daemon was a relay last.
-  Instant relayedAt_{};
+  /// When all daemons that are likely to be running became live.
+  std::optional<Instant> allLiveSince_;
+  /// When usage by incarnation was last sent.
+  Instant usageSentAt_{};
+  /// When this daemon last was a relay.
+  Instant lastRelayAt_{};
 };
 
 }  // namespace Hallchute
--- a/Hallchute/src/Fleet/LapsedUpstreams.cpp
+++ b/Hallchute/src/Fleet/LapsedUpstreams.cpp
@@ -11,12 +11,12 @@
 std::vector<UpstreamRecord> LapsedUpstreams::merge(std::vector<UpstreamRecord> listed,
                                                    std::span<const UpstreamRecord> before,
                                                    Instant now) const {
-  if (!holds(now)) return listed;
-  std::set<UpstreamId> there;
-  for (const UpstreamRecord& record : listed) there.insert(record.id);
+  if (!isActive(now)) return listed;
+  std::set<UpstreamId> listedIds;
+  for (const UpstreamRecord& record : listed) listedIds.insert(record.id);
   for (const UpstreamRecord& record : before) {
-    // One that was leaving has left.
-    if (record.state == UpstreamState::draining || there.contains(record.id)) continue;
+    // A draining upstream that is no longer listed has stopped.
+    if (record.state == UpstreamState::draining || listedIds.contains(record.id)) continue;
     listed.push_back(record);
   }
   return listed;
--- a/Hallchute/src/Fleet/LapsedUpstreams.h
+++ b/Hallchute/src/Fleet/LapsedUpstreams.h
@@ -12,27 +12,28 @@
 
 namespace Hallchute {
 
-/// \brief Keeps upstreams whose entries lapsed while the store was away. No I/O, no clock.
-/// \ingroup Fleet
+/// \brief Retains upstreams whose entries expired during an outage of the store. Does no I/O and
+/// reads no clock. \ingroup Fleet
 ///
-/// Entries of upstreams that live and could not write to the store are missing from its first list
-/// after an outage; they come back within kBackWithin. One that is still missing then is gone.
+/// Running upstreams that could not write to the store are missing from its first list after an
+/// outage; they register again within kReregistrationTime. An upstream that is still missing then
+/// is gone.
 class LapsedUpstreams {
  public:
-  /// The time in which upstreams write themselves into a store that returned, as the platform
-  /// states it, and a little for the news to arrive.
+  /// The time that the platform states for upstreams to register again in a recovered store, and a
+  /// margin for the update to arrive.
   static constexpr Millis kBackWithin{2'200};
 
-  /// \brief The store answers again after nobody heard of it for a while.
-  void noteReturn(Instant now) { until_ = now + kBackWithin; }
-  bool holds(Instant now) const { return now < until_; }
-  Instant until() const { return until_; }
-  /// \brief \p listed and, soon after a return, those of \p before that it lacks.
+  /// \brief Starts the retention; the store answers again after an outage seen by all daemons.
+  void noteReturn(Instant now) { activeUntil_ = now + kBackWithin; }
+  bool isActive(Instant now) const { return now < activeUntil_; }
+  Instant activeUntil() const { return activeUntil_; }
+  /// \brief Returns \p listed and, while active, those upstreams of \p before that it lacks.
   std::vector<UpstreamRecord> merge(std::vector<UpstreamRecord> listed,
                                     std::span<const UpstreamRecord> before, Instant now) const;
 
  private:
-  Instant until_{};
+  Instant activeUntil_{};
 };
 
 }  // namespace Hallchute
--- a/Hallchute/src/Fleet/ReportSums.cpp
+++ b/Hallchute/src/Fleet/ReportSums.cpp
@@ -21,11 +21,11 @@
   }
 }
 
-void takeOff(SpentQuota& total, const SpentQuota& part) {
+void subtract(SpentQuota& total, const SpentQuota& part) {
   for (const auto& [organisation, amount] : part) total[organisation] -= amount;
 }
 
-void takeOff(UpstreamLoads& total, const UpstreamLoads& part) {
+void subtract(UpstreamLoads& total, const UpstreamLoads& part) {
   for (const auto& [upstream, load] : part) {
     const auto it = total.find(upstream);
     if (it == total.end()) continue;
@@ -35,15 +35,15 @@
   }
 }
 
-void takeOff(UsageByWindow& total, const UsageByWindow& part) {
+void subtract(UsageByWindow& total, const UsageByWindow& part) {
   for (const auto& [window, counts] : part) {
     UsageCounts& left = total[window];
     for (const auto& [organisation, count] : counts) left[organisation] -= count;
   }
 }
 
-void raiseUsage(UsageByWindow& known, const UsageByWindow& told) {
-  for (const auto& [window, counts] : told) {
+void raiseUsage(UsageByWindow& known, const UsageByWindow& reported) {
+  for (const auto& [window, counts] : reported) {
     for (const auto& [organisation, count] : counts) {
       std::uint64_t& most = known[window][organisation];
       most = std::max(most, count);
--- a/Hallchute/src/Fleet/ReportSums.h
+++ b/Hallchute/src/Fleet/ReportSums.h
@@ -11,23 +11,23 @@
 namespace Hallchute {
 
 /// \file
-/// \brief Arithmetic of what daemons report. Cost: one look-up in the total for each entry of the
-/// other argument.
+/// \brief Addition, subtraction and maximum of reported counters. Cost: one lookup in the total for
+/// each entry of the other argument.
 
 /// \brief Adds \p more to \p total. \ingroup Fleet
 void addSpent(SpentQuota& total, const SpentQuota& more);
 void addLoads(UpstreamLoads& total, const UpstreamLoads& more);
 void addUsage(UsageByWindow& total, const UsageByWindow& more);
 
-/// \brief Takes \p part, which was added before, off \p total. \ingroup Fleet
-void takeOff(SpentQuota& total, const SpentQuota& part);
-/// \brief As above; upstreams that are left without load go.
-void takeOff(UpstreamLoads& total, const UpstreamLoads& part);
-void takeOff(UsageByWindow& total, const UsageByWindow& part);
+/// \brief Subtracts \p part, which was added before, from \p total. \ingroup Fleet
+void subtract(SpentQuota& total, const SpentQuota& part);
+/// \brief As above; removes upstreams that are left without load.
+void subtract(UpstreamLoads& total, const UpstreamLoads& part);
+void subtract(UsageByWindow& total, const UsageByWindow& part);
 
-/// \brief Raises counts of \p known to those of \p told where they are higher: counts of an
-/// incarnation only rise, so that of two words the later one holds more. \ingroup Fleet
-void raiseUsage(UsageByWindow& known, const UsageByWindow& told);
+/// \brief Raises the counts of \p known to those of \p reported where these are higher. Counts of
+/// an incarnation never decrease, so the higher of two reports is the later one. \ingroup Fleet
+void raiseUsage(UsageByWindow& known, const UsageByWindow& reported);
 
 }  // namespace Hallchute
 
--- a/Hallchute/src/Fleet/StoreNews.cpp
+++ b/Hallchute/src/Fleet/StoreNews.cpp
@@ -10,20 +10,23 @@
 namespace Hallchute {
 namespace {
 
-/// News passes two relays, a report period each: older than this it isn't just on its way.
-constexpr Millis kOldAfter{1'000};
-/// The shortest outage in which an upstream's entry can lapse, by three of its heartbeats of 1.2 s
-/// of which one may have been due just before. Daemons that start pause for less.
-constexpr Millis kLapsesAfter{2'400};
-/// A daemon whose peers have heard nothing for so long asks the store itself. A new relay takes a
-/// heartbeat's silence and a list to be in contact; before that many calls would be for nothing.
+/// Store contact older than this isn't explained by propagation through two relays, one report
+/// period each.
+constexpr Millis kStaleAfter{1'000};
+/// The shortest outage in which an upstream's entry can expire: it expires after three missed
+/// heartbeats of 1.2 s, the first of which may be due right at the start. Longer than the pause of
+/// starting daemons.
+constexpr Millis kEntryLapse{2'400};
+/// Time without store contact of any peer after which a daemon calls the store itself. A new relay
+/// needs a heartbeat timeout and a list call to get in contact; probing earlier would waste many
+/// calls.
 constexpr Millis kProbeAfter{2'500};
-/// Between two snapshots asked for, while changes come in series; what leaves is told at once by
-/// the reports themselves.
-constexpr Millis kAskPause{400};
-/// A daemon that watches hears the same as its peers at about the same time; one that is behind for
-/// longer has a watch that hangs.
-constexpr Millis kWatchLag{600};
+/// Minimum interval between snapshot requests, as changes come in series. Draining upstreams don't
+/// depend on it: the reports themselves carry them.
+constexpr Millis kSnapshotInterval{400};
+/// A daemon with a working watch receives updates at about the same time as its peers; one that is
+/// behind for longer has a stalled watch.
+constexpr Millis kWatchTolerance{600};
 
 bool isAhead(const FleetReport& report, const StoreState& own) {
   return report.settingsVersion > own.settingsVersion ||
@@ -33,35 +36,36 @@
 }  // namespace
 
 StoreNews::StoreNews(Instant started)
-    : started_(started), heard_(started - kNeverHeard), toldAway_(heard_) {}
+    : started_(started), lastContact_(started - kNeverHeard), peersLostContactAt_(lastContact_) {}
 
 bool StoreNews::noteReport(const FleetReport& report, const StoreState& own, Instant now) {
-  const bool away = age(own, now) > kOldAfter;
-  heard_ = std::max(heard_, now - report.storeAge);
-  newestSettings_ = std::max(newestSettings_, report.settingsVersion);
-  // Peers that have just started know nothing of an outage.
-  if (report.storeAge > kLapsesAfter && report.storeAge < kNeverHeard) toldAway_ = now;
-  // Without peers that said so, this daemon was out of reach and the store may have been there.
-  return away && age(own, now) <= kOldAfter && now - toldAway_ <= kOldAfter;
+  const bool wasStale = age(own, now) > kStaleAfter;
+  lastContact_ = std::max(lastContact_, now - report.storeAge);
+  newestSettingsVersion_ = std::max(newestSettingsVersion_, report.settingsVersion);
+  // Peers that have just started can't report an outage.
+  if (report.storeAge > kEntryLapse && report.storeAge < kNeverHeard) peersLostContactAt_ = now;
+  // If no peer reported the outage, only this daemon was cut off and the store may have been up.
+  return wasStale && age(own, now) <= kStaleAfter && now - peersLostContactAt_ <= kStaleAfter;
 }
 
 Millis StoreNews::age(const StoreState& own, Instant now) const {
   if (own.inContact) return Millis(0);
-  return std::max(Millis(0), std::chrono::duration_cast<Millis>(now - heard_));
+  return std::max(Millis(0), std::chrono::duration_cast<Millis>(now - lastContact_));
 }
 
 bool StoreNews::mayBeOld(const StoreState& own, Instant now) const {
-  return own.settingsVersion < newestSettings_ || age(own, now) > kOldAfter;
+  return own.settingsVersion < newestSettingsVersion_ || age(own, now) > kStaleAfter;
 }
 
 bool StoreNews::wasAway(Instant now) const {
-  return now - heard_ > kOldAfter;
+  return now - lastContact_ > kStaleAfter;
 }
 
 FollowMode StoreNews::mode(bool follows, const StoreState& own, Instant now) const {
   if (follows) return FollowMode::following;
-  const bool lost = now - std::max(heard_, started_) > kProbeAfter || own.settingsVersion == 0;
-  return lost ? FollowMode::probing : FollowMode::off;
+  const bool probes =
+      now - std::max(lastContact_, started_) > kProbeAfter || own.settingsVersion == 0;
+  return probes ? FollowMode::probing : FollowMode::off;
 }
 
 std::optional<std::string> StoreNews::peerToAsk(const StoreState& own,
@@ -75,15 +79,15 @@
                         report->upstreamsVersion > best->upstreamsVersion);
     if (newer) best = report;
   }
-  const bool moved = behindAt_.settingsVersion != own.settingsVersion ||
-                     behindAt_.upstreamsVersion != own.upstreamsVersion;
+  const bool moved = behindState_.settingsVersion != own.settingsVersion ||
+                     behindState_.upstreamsVersion != own.upstreamsVersion;
   if (best == nullptr || moved) behindSince_.reset();
-  behindAt_ = own;
+  behindState_ = own;
   if (best == nullptr) return std::nullopt;
   if (!behindSince_) behindSince_ = now;
-  if (own.inContact && now - *behindSince_ < kWatchLag) return std::nullopt;
-  if (now - asked_ < kAskPause) return std::nullopt;
-  asked_ = now;
+  if (own.inContact && now - *behindSince_ < kWatchTolerance) return std::nullopt;
+  if (now - snapshotRequestedAt_ < kSnapshotInterval) return std::nullopt;
+  snapshotRequestedAt_ = now;
   return best->self.address;
 }
 
--- a/Hallchute/src/Fleet/StoreNews.h
+++ b/Hallchute/src/Fleet/StoreNews.h
@@ -15,60 +15,62 @@
 
 struct FleetReport;
 
-/// \brief How a daemon keeps its copy of the store's objects. \ingroup Fleet
+/// \brief How a daemon keeps its copy of the store's objects up to date. \ingroup Fleet
 enum class FollowMode : std::uint8_t {
-  /// Peers tell it; it makes no calls.
+  /// Peers supply updates; it doesn't call the store.
   off,
-  /// Peers are as lost as it is: it asks the store now and then.
+  /// No peer is in contact with the store: it calls the store periodically.
   probing,
-  /// It watches the store, for itself and for others.
+  /// It watches the store, for itself and for peers.
   following,
 };
 
-/// \brief What a daemon holds of the store's objects, and how. \ingroup Fleet
+/// \brief Versions of a daemon's copy of the store's objects, and its contact. \ingroup Fleet
 struct StoreState {
   std::uint64_t settingsVersion = 0;
   std::uint64_t upstreamsVersion = 0;
-  /// It asks the store itself and was answered last time.
+  /// It calls the store itself and the last call was answered.
   bool inContact = false;
 };
 
-/// \brief Decides who watches the store, how old a daemon's copy may be, and which peer to ask
-/// for a newer one. No I/O, no clock. \ingroup Fleet
+/// \brief Decides whether a daemon watches the store, bounds the age of its copy, and selects the
+/// peer to request a newer one from. Does no I/O and reads no clock. \ingroup Fleet
 ///
-/// Calls to the store are paid for, watches that wait too. In a large fleet two daemons of each
-/// failure domain watch; the others hear of newer versions by the reports and ask the teller.
+/// Calls to the store, including pending watches, are billed. In a large fleet two daemons of each
+/// failure domain watch it; the others learn of newer versions from reports and request a snapshot
+/// from the sender.
 class StoreNews {
  public:
-  /// \param started a daemon that starts has a moment to meet its peers before it probes.
+  /// \param started when the daemon started; it leaves time to discover peers before it probes.
   explicit StoreNews(Instant started);
 
-  /// \returns whether it brings the store back: before, peers said that it answered none of them.
+  /// \brief Records a peer's report. \returns whether it ends a store outage: peers had reported
+  /// before that the store answered none of them.
   bool noteReport(const FleetReport& report, const StoreState& own, Instant now);
-  /// \brief How long ago the store last answered anybody this daemon hears of.
+  /// \brief Time since the store last answered this daemon or any whose reports reach it.
   Millis age(const StoreState& own, Instant now) const;
-  /// \brief Whether the store was away from all peers too, as far as their reports tell.
+  /// \brief Whether the store was also unreachable for all peers, according to their reports.
   bool wasAway(Instant now) const;
-  /// \brief Whether newer settings may exist that this daemon can't hear of.
+  /// \brief Whether newer settings may exist than this daemon's copy.
   bool mayBeOld(const StoreState& own, Instant now) const;
-  /// \param follows whether the fleet counts on this daemon's watching.
+  /// \param follows whether this daemon is one of those that watch the store for the fleet.
   FollowMode mode(bool follows, const StoreState& own, Instant now) const;
-  /// \brief The address of a peer to ask for a snapshot now, if any.
+  /// \brief The address of the peer to request a snapshot from now, if any.
   std::optional<std::string> peerToAsk(const StoreState& own,
                                        std::span<const FleetReport* const> reports, Instant now);
 
  private:
   Instant started_;
-  /// When the store last answered anybody; long before the start if that was never heard of.
-  Instant heard_;
-  /// When a peer last said that the store answers nobody it receives reports of.
-  Instant toldAway_;
-  /// The newest settings that any report named.
-  std::uint64_t newestSettings_ = 0;
-  Instant asked_{};
-  /// Since when a peer has been ahead of a daemon that watches itself, and of which versions.
+  /// When the store last answered any peer; kUnknownAge before the start if not reported yet.
+  Instant lastContact_;
+  /// When a peer last reported that the store answers neither it nor its peers.
+  Instant peersLostContactAt_;
+  /// The newest settings version in any report.
+  std::uint64_t newestSettingsVersion_ = 0;
+  Instant snapshotRequestedAt_{};
+  /// Since when a peer has had newer versions than this daemon, and this daemon's versions then.
   std::optional<Instant> behindSince_;
-  StoreState behindAt_;
+  StoreState behindState_;
 };
 
 }  // namespace Hallchute
--- a/Hallchute/src/Fleet/UpstreamCopy.cpp
+++ b/Hallchute/src/Fleet/UpstreamCopy.cpp
@@ -14,19 +14,19 @@
 }
 
 bool UpstreamCopy::take(std::vector<UpstreamRecord> listed, std::uint64_t version, Instant now) {
-  // A new list that says the same is no update for peers either.
+  // An equal list under a newer version isn't an update for peers either.
   if (version <= version_ || (version_ > 0 && listed == listed_)) return false;
   version_ = version;
   listed_ = std::move(listed);
-  return use(lapsed_.merge(listed_, upstreams_, now));
+  return setUpstreams(lapsed_.merge(listed_, upstreams_, now));
 }
 
 bool UpstreamCopy::dropLapsed(Instant now) {
-  // After a second outage its own time decides.
-  return !lapsed_.holds(now) && use(listed_);
+  // After a second outage the retention lasts until that outage's own limit.
+  return !lapsed_.isActive(now) && setUpstreams(listed_);
 }
 
-bool UpstreamCopy::use(std::vector<UpstreamRecord> upstreams) {
+bool UpstreamCopy::setUpstreams(std::vector<UpstreamRecord> upstreams) {
   if (upstreams == upstreams_) return false;
   upstreams_ = std::move(upstreams);
   return true;
--- a/Hallchute/src/Fleet/UpstreamCopy.h
+++ b/Hallchute/src/Fleet/UpstreamCopy.h
@@ -13,33 +13,33 @@
 
 namespace Hallchute {
 
-/// \brief A daemon's list of the upstreams, from the store or a peer, that only ever gets newer.
-/// No I/O, no clock. \ingroup Fleet
+/// \brief A daemon's list of the upstreams, from the store or a peer; its version only increases.
+/// Does no I/O and reads no clock. \ingroup Fleet
 ///
-/// Soon after an outage of the store entries of living upstreams may be missing from its list. Each
-/// daemon holds those that it knew, by what itself has received of the store: one that was merely
-/// cut off takes the store for having been away, and peers that were not must not learn entries
+/// Right after a store outage, entries of running upstreams may be missing from the store's list.
+/// Each daemon retains those that it knew, but doesn't pass them on: a daemon that was merely cut
+/// off assumes an outage of the store, and peers that were not cut off must not receive entries
 /// from it that they know to be gone.
 class UpstreamCopy {
  public:
-  /// \brief The store answers again after an outage: entries that it lacks are held for a while.
-  /// \returns false if there are none to hold.
+  /// \brief Starts retaining entries that the store lacks after an outage.
+  /// \returns false if there are no entries to retain.
   bool noteReturn(Instant now);
-  /// \brief Takes a list that the store gave, to this daemon or to a peer.
-  /// \param version the store's revision that it is complete to.
+  /// \brief Applies a list that the store returned to this daemon or to a peer.
+  /// \param version the store revision up to which the list is complete.
   /// \returns whether upstreams() changed.
   bool take(std::vector<UpstreamRecord> listed, std::uint64_t version, Instant now);
-  /// \brief Gives up held entries whose time is over. \returns whether upstreams() changed.
+  /// \brief Drops retained entries whose time has expired. \returns whether upstreams() changed.
   bool dropLapsed(Instant now);
   /// \brief The revision of listed(); 0 if there is no list.
   std::uint64_t version() const { return version_; }
-  /// \brief The list as the store gave it: what a peer is told.
+  /// \brief The list as the store returned it; this is what peers receive.
   const std::vector<UpstreamRecord>& listed() const { return listed_; }
-  /// \brief What to use: the list and the entries that are held.
+  /// \brief The list and the retained entries; to be used for routing.
   const std::vector<UpstreamRecord>& upstreams() const { return upstreams_; }
 
  private:
-  bool use(std::vector<UpstreamRecord> upstreams);
+  bool setUpstreams(std::vector<UpstreamRecord> upstreams);
 
   std::uint64_t version_ = 0;
   LapsedUpstreams lapsed_;
