--- a/Hallchute/src/Fleet/FleetRoster.cpp
+++ b/Hallchute/src/Fleet/FleetRoster.cpp
@@ -176,13 +176,13 @@
   fleet.heard = liveCount(now);
   fleet.reportLag = reportLag(now);
   const auto all = static_cast<double>(std::max<std::size_t>(1, expectedCount(now)));
-  fleet.meeting = !hasMet(now);
-  if (fleet.meeting) {
-    fleet.meetingLeft = std::chrono::duration_cast<Millis>(started_ + kDiscoveryTime - now);
+  fleet.discovering = !hasMet(now);
+  if (fleet.discovering) {
+    fleet.discoveryTimeLeft = std::chrono::duration_cast<Millis>(started_ + kDiscoveryTime - now);
   }
-  if (!fleet.meeting || earlierSize_ > 0) fleet.ownPart = 1 / all;
-  fleet.heardPart = fleet.meeting ? fleet.ownPart.value_or(kDiscoveryQuotaShare)
-                                  : std::min(1.0, static_cast<double>(fleet.heard) / all);
+  if (!fleet.discovering || earlierSize_ > 0) fleet.ownShare = 1 / all;
+  fleet.liveFraction = fleet.discovering ? fleet.ownShare.value_or(kDiscoveryQuotaShare)
+                                         : std::min(1.0, static_cast<double>(fleet.heard) / all);
   return fleet;
 }
 
--- a/Hallchute/src/Node/GatewayNode.cpp
+++ b/Hallchute/src/Node/GatewayNode.cpp
@@ -212,12 +212,12 @@
 }
 
 void GatewayNode::tellTraffic(Instant now) {
-  FleetTold told{fleet_.known(now), fleet_.loadsElsewhere(now), fleet_.quotaFleet(now),
-                 fleet_.clock().offset()};
+  FleetTrafficView told{fleet_.known(now), fleet_.loadsElsewhere(now), fleet_.quotaFleet(now),
+                        fleet_.clock().offset()};
   logFleet(told, now);
   trafficLoop_.post([this, told = std::move(told), old = copy_.mayBeOld(now)] {
     engine_.setFleet(told);
-    engine_.setSettingsMayBeOld(old);
+    engine_.setSettingsMayBeStale(old);
   });
 }
 
@@ -232,7 +232,7 @@
 }
 
 /// How much of the fleet is heard decides this daemon's part of quotas and of the retry budget.
-void GatewayNode::logFleet(const FleetTold& told, Instant now) {
+void GatewayNode::logFleet(const FleetTrafficView& told, Instant now) {
   const DaemonId relay = fleet_.ownRelay(now);
   const bool changed =
       told.quota.heard != loggedHeard_ || told.known != loggedKnown_ || relay != loggedRelay_;
@@ -297,7 +297,7 @@
   const bool unlisted = passed >= kUntilUnlisted;
   if (unlisted) {
     callers_.closeIdle();
-    engine_.refuseNew();
+    engine_.refuseNewRequests();
   }
   const bool idle = unlisted && engine_.sessions() == 0 && callers_.busy() == 0;
   if (idle || passed >= startup_.bounds.grace - kStopMargin) {
--- a/test/FleetTest.cpp
+++ b/test/FleetTest.cpp
@@ -97,22 +97,22 @@
 
   void earlierSizeCountsUntilTheOthersAreMet() {
     FleetView view({DaemonId("self"), "self:1", 1}, at(0));
-    CPPUNIT_ASSERT(!view.quotaFleet(at(0)).ownPart.has_value());
-    CPPUNIT_ASSERT(view.quotaFleet(at(0)).heardPart < 0.05);
+    CPPUNIT_ASSERT(!view.quotaFleet(at(0)).ownShare.has_value());
+    CPPUNIT_ASSERT(view.quotaFleet(at(0)).liveFraction < 0.05);
     view.noteEarlierSize(4);
     CPPUNIT_ASSERT_EQUAL(std::size_t{4}, view.known(at(0)));
-    CPPUNIT_ASSERT_EQUAL(0.25, view.quotaFleet(at(0)).ownPart.value());
-    CPPUNIT_ASSERT_EQUAL(0.25, view.quotaFleet(at(0)).heardPart);
+    CPPUNIT_ASSERT_EQUAL(0.25, view.quotaFleet(at(0)).ownShare.value());
+    CPPUNIT_ASSERT_EQUAL(0.25, view.quotaFleet(at(0)).liveFraction);
     view.receive(reportOf("a", 1), at(100));
-    CPPUNIT_ASSERT(view.quotaFleet(at(100)).meeting);
-    CPPUNIT_ASSERT_EQUAL(0.25, view.quotaFleet(at(100)).heardPart);
+    CPPUNIT_ASSERT(view.quotaFleet(at(100)).discovering);
+    CPPUNIT_ASSERT_EQUAL(0.25, view.quotaFleet(at(100)).liveFraction);
     view.receive(reportOf("a", 1), at(1'300));
-    CPPUNIT_ASSERT(!view.quotaFleet(at(1'300)).meeting);
-    CPPUNIT_ASSERT_EQUAL(0.5, view.quotaFleet(at(1'300)).heardPart);
+    CPPUNIT_ASSERT(!view.quotaFleet(at(1'300)).discovering);
+    CPPUNIT_ASSERT_EQUAL(0.5, view.quotaFleet(at(1'300)).liveFraction);
     // Those that never came back are forgotten as others are.
     view.receive(reportOf("a", 1), at(15'100));
     CPPUNIT_ASSERT_EQUAL(std::size_t{2}, view.known(at(15'200)));
-    CPPUNIT_ASSERT_EQUAL(1.0, view.quotaFleet(at(15'200)).heardPart);
+    CPPUNIT_ASSERT_EQUAL(1.0, view.quotaFleet(at(15'200)).liveFraction);
   }
 
   /// A rolling restart: the daemon that counts the usage in the end started after the others ended.
