--- a/Hallchute/src/Duty/DutyKeeper.cpp
+++ b/Hallchute/src/Duty/DutyKeeper.cpp
@@ -39,7 +39,7 @@
 
 DutyHolder DutyKeeper::holder() const {
   DutyHolder holder = known_ ? known_->record.holder : DutyHolder{};
-  if (resigned_) holder.learn(*resigned_);
+  if (resigned_) holder.mergeNewer(*resigned_);
   return holder;
 }
 
