--- a/Hallchute/src/Admission/FairShare.cpp
+++ b/Hallchute/src/Admission/FairShare.cpp
@@ -7,16 +7,16 @@
 
 namespace Hallchute {
 
-double FairShare::startOf(const OrganisationName& organisation) const {
-  const auto it = clocks_.find(organisation);
-  return it == clocks_.end() ? now_ : std::max(now_, it->second);
+double FairShare::virtualStartTime(const OrganisationName& organisation) const {
+  const auto it = finishTimes_.find(organisation);
+  return it == finishTimes_.end() ? virtualTime_ : std::max(virtualTime_, it->second);
 }
 
 void FairShare::charge(const OrganisationName& organisation, double cost, double weight) {
-  const double start = startOf(organisation);
-  now_ = start;
-  clocks_[organisation] = start + cost / weight;
-  std::erase_if(clocks_, [&](const auto& entry) { return entry.second < now_; });
+  const double start = virtualStartTime(organisation);
+  virtualTime_ = start;
+  finishTimes_[organisation] = start + cost / weight;
+  std::erase_if(finishTimes_, [&](const auto& entry) { return entry.second < virtualTime_; });
 }
 
 }  // namespace Hallchute
--- a/Hallchute/src/Admission/FairShare.h
+++ b/Hallchute/src/Admission/FairShare.h
@@ -13,19 +13,19 @@
 /// \brief Weighted fair queuing over organisations by virtual time.
 /// \ingroup Admission
 ///
-/// An organisation's clock advances by the cost of its work over its weight. One that was idle
-/// starts at the shard's clock: it saves nothing up.
+/// Each request advances its organisation's finish time by its cost divided by the weight. An
+/// organisation that was idle starts at the shard's virtual time, so it accumulates no credit.
 class FairShare {
  public:
-  /// \brief The virtual time at which the organisation's next work would start.
-  double startOf(const OrganisationName& organisation) const;
-  /// \brief Notes that work of \p cost tokens was granted.
+  /// \brief The virtual time at which the organisation's next request would start.
+  double virtualStartTime(const OrganisationName& organisation) const;
+  /// \brief Charges the organisation for a granted request of \p cost tokens.
   void charge(const OrganisationName& organisation, double cost, double weight);
-  std::size_t size() const { return clocks_.size(); }
+  std::size_t size() const { return finishTimes_.size(); }
 
  private:
-  std::map<OrganisationName, double> clocks_;
-  double now_ = 0;
+  std::map<OrganisationName, double> finishTimes_;
+  double virtualTime_ = 0;
 };
 
 }  // namespace Hallchute
--- a/Hallchute/src/Admission/GrantAction.h
+++ b/Hallchute/src/Admission/GrantAction.h
@@ -12,22 +12,22 @@
 
 namespace Hallchute {
 
-/// \brief The place is the daemon's until it releases it.
+/// \brief The request was granted a slot at an upstream, until its daemon releases it.
 /// \ingroup Admission
 struct Granted {
   GrantId id = 0;
   UpstreamId upstream;
-  /// Tokens of the prompt that the upstream is taken to hold already.
+  /// Prompt tokens that the upstream is estimated to have in its prefix cache.
   std::size_t cachedTokens = 0;
 };
 
-/// \brief The wish waits; a final action follows.
+/// \brief The request was queued; Granted or GrantRefused follows unless it is released.
 /// \ingroup Admission
 struct Queued {
   GrantId id = 0;
 };
 
-/// \brief The wish is given up on, at once and for good.
+/// \brief The request was refused or evicted from the queue. Final.
 /// \ingroup Admission
 struct GrantRefused {
   GrantId id = 0;
--- a/Hallchute/src/Admission/GrantWanted.h
+++ b/Hallchute/src/Admission/GrantWanted.h
@@ -13,31 +13,32 @@
 
 namespace Hallchute {
 
-/// \brief Names a grant at its owner: unique while the owner lives.
+/// \brief Identifies a grant at its shard owner. Unique for the owner's lifetime.
 /// \ingroup Admission
 using GrantId = std::uint64_t;
 
-/// \brief A daemon's wish for a place at an upstream.
+/// \brief A daemon's request for a slot at an upstream.
 /// \ingroup Admission
 struct GrantWanted {
   GrantId id = 0;
   OrganisationName organisation;
   double weight = 1;
-  /// 0 is the most patient, 9 the most urgent.
+  /// From 0, the lowest, to 9, the highest.
   std::int64_t priority = 5;
   std::size_t promptTokens = 0;
   std::size_t expectedTokens = 0;
   std::uint64_t affinity = 0;
   std::vector<std::uint64_t> prefixHashes;
-  /// Upstreams that already failed this request.
+  /// Upstreams at which this request has already failed.
   std::vector<UpstreamId> avoid;
-  /// Work already begun, that moves from a leaving or failed upstream, goes before new work.
+  /// The request was already running and moves from a draining or failed upstream: it goes before
+  /// new requests.
   bool resumption = false;
-  /// Refused once it passes.
+  /// The request is refused once this time has passed.
   Instant deadline{};
 };
 
-/// \brief A grant made by an earlier owner and reported to its successor.
+/// \brief A grant made by a previous owner and reported to its successor.
 /// \ingroup Admission
 struct GrantHeld {
   GrantId id = 0;
@@ -46,7 +47,7 @@
   std::size_t tokens = 0;
 };
 
-/// \brief How granted work ended, as its daemon saw it.
+/// \brief How a granted request ended, as reported by its daemon.
 /// \ingroup Admission
 enum class GrantEnd { finished, cancelled, connectFailed, broke };
 
--- a/Hallchute/src/Admission/OwnedUpstream.h
+++ b/Hallchute/src/Admission/OwnedUpstream.h
@@ -13,7 +13,7 @@
 
 namespace Hallchute {
 
-/// \brief An upstream as its shard's owner knows it.
+/// \brief The shard owner's state of one upstream.
 /// \ingroup Admission
 struct OwnedUpstream {
   OwnedUpstream(UpstreamId upstream, std::uint64_t hash, std::size_t cacheTokens)
@@ -24,13 +24,14 @@
   PrefixIndex prefixes;
   std::size_t inFlight = 0;
   std::size_t pendingTokens = 0;
-  /// Prompt tokens granted there whose first answer token has not come yet.
+  /// Uncached prompt tokens of granted requests that have not produced their first token yet.
   std::size_t prefillTokens = 0;
-  /// Leaves or has left: nothing new is granted there.
-  bool leaving = false;
-  /// After failures nothing is granted before this time, then one request probes.
-  Instant shunnedUntil{};
-  std::uint32_t failures = 0;
+  /// Draining or gone: no new grants.
+  bool draining = false;
+  /// After a failure there are no grants before this time, and then one at a time until a request
+  /// finishes.
+  Instant ejectedUntil{};
+  std::uint32_t consecutiveFailures = 0;
 };
 
 }  // namespace Hallchute
--- a/Hallchute/src/Admission/ShardOwner.cpp
+++ b/Hallchute/src/Admission/ShardOwner.cpp
@@ -12,25 +12,25 @@
 namespace Hallchute {
 namespace {
 
-constexpr Millis kFirstShun{500};
-constexpr Millis kLongestShun{30'000};
-constexpr Millis kShortestRetryAfter{100};
-constexpr Millis kLongestRetryAfter{60'000};
-constexpr double kReleaseSmoothing = 0.1;
-/// A resumption goes before any new work, whatever its class.
+constexpr Millis kBaseEjectionTime{500};
+constexpr Millis kMaxEjectionTime{30'000};
+constexpr Millis kMinRetryAfter{100};
+constexpr Millis kMaxRetryAfter{60'000};
+constexpr double kReleaseGapSmoothing = 0.1;
+/// Ranks a resumption before any new request, whatever its class.
 constexpr double kResumptionUrgency = 1e6;
 
 std::size_t costOf(const GrantWanted& wanted) {
   return wanted.promptTokens + wanted.expectedTokens;
 }
 
-bool avoids(const GrantWanted& wanted, const UpstreamId& upstream) {
+bool hasFailedAt(const GrantWanted& wanted, const UpstreamId& upstream) {
   const auto& avoid = wanted.avoid;
   return std::find(avoid.begin(), avoid.end(), upstream) != avoid.end();
 }
 
 Refusal refusal(RefusalReason reason, std::string detail, Millis retryAfter) {
-  const Millis bounded = std::clamp(retryAfter, kShortestRetryAfter, kLongestRetryAfter);
+  const Millis bounded = std::clamp(retryAfter, kMinRetryAfter, kMaxRetryAfter);
   return {reason, std::move(detail), RunOutcome::notRun, bounded};
 }
 
@@ -45,9 +45,9 @@
   }
 }
 
-std::optional<std::size_t> ShardOwner::slotOf(const UpstreamId& upstream) const {
-  for (std::size_t slot = 0; slot < upstreams_.size(); ++slot) {
-    if (upstreams_[slot].id == upstream) return slot;
+std::optional<std::size_t> ShardOwner::indexOf(const UpstreamId& upstream) const {
+  for (std::size_t upstreamIndex = 0; upstreamIndex < upstreams_.size(); ++upstreamIndex) {
+    if (upstreams_[upstreamIndex].id == upstream) return upstreamIndex;
   }
   return std::nullopt;
 }
@@ -55,37 +55,37 @@
 std::vector<GrantAction> ShardOwner::setUpstreams(std::span<const UpstreamId> live, Instant now) {
   std::vector<GrantAction> actions;
   for (OwnedUpstream& upstream : upstreams_) {
-    if (std::find(live.begin(), live.end(), upstream.id) == live.end()) upstream.leaving = true;
+    if (std::find(live.begin(), live.end(), upstream.id) == live.end()) upstream.draining = true;
   }
   for (const UpstreamId& id : live) {
-    if (slotOf(id)) continue;
+    if (indexOf(id)) continue;
     upstreams_.emplace_back(id, stableHash(id.str()), policy_.prefixTokensPerUpstream);
   }
-  // Slots are indices held by running grants, so only the unused tail is given back.
-  while (!upstreams_.empty() && upstreams_.back().leaving && upstreams_.back().inFlight == 0) {
+  // Active grants refer to upstreams by index, so only unused ones at the end are erased.
+  while (!upstreams_.empty() && upstreams_.back().draining && upstreams_.back().inFlight == 0) {
     upstreams_.pop_back();
   }
-  grantWaiting(now, actions);
+  grantQueued(now, actions);
   return actions;
 }
 
 std::vector<GrantAction> ShardOwner::markLeaving(const UpstreamId& upstream, Instant now) {
   std::vector<GrantAction> actions;
-  if (const auto slot = slotOf(upstream)) upstreams_[*slot].leaving = true;
-  grantWaiting(now, actions);
+  if (const auto upstreamIndex = indexOf(upstream)) upstreams_[*upstreamIndex].draining = true;
+  grantQueued(now, actions);
   return actions;
 }
 
 bool ShardOwner::usable(const OwnedUpstream& upstream, Instant now) const {
-  return !upstream.leaving && now >= upstream.shunnedUntil;
+  return !upstream.draining && now >= upstream.ejectedUntil;
 }
 
-std::size_t ShardOwner::limitOf(const OwnedUpstream& upstream) const {
-  return upstream.failures > 0 ? 1 : policy_.maxInFlightPerUpstream;
+std::size_t ShardOwner::concurrencyLimit(const OwnedUpstream& upstream) const {
+  return upstream.consecutiveFailures > 0 ? 1 : policy_.maxInFlightPerUpstream;
 }
 
-bool ShardOwner::hasRoom(const OwnedUpstream& upstream) const {
-  return upstream.inFlight < limitOf(upstream) &&
+bool ShardOwner::hasFreeSlot(const OwnedUpstream& upstream) const {
+  return upstream.inFlight < concurrencyLimit(upstream) &&
          upstream.prefillTokens < policy_.maxPrefillTokensPerUpstream;
 }
 
@@ -95,17 +95,18 @@
                     [&](const OwnedUpstream& upstream) { return usable(upstream, now); }));
 }
 
-std::size_t ShardOwner::freePlaces(Instant now) const {
-  std::size_t places = 0;
+std::size_t ShardOwner::freeSlots(Instant now) const {
+  std::size_t slots = 0;
   for (const OwnedUpstream& upstream : upstreams_) {
-    if (usable(upstream, now) && hasRoom(upstream)) places += limitOf(upstream) - upstream.inFlight;
+    if (usable(upstream, now) && hasFreeSlot(upstream))
+      slots += concurrencyLimit(upstream) - upstream.inFlight;
   }
-  return places;
+  return slots;
 }
 
 std::size_t ShardOwner::inFlightAt(const UpstreamId& upstream) const {
-  const auto slot = slotOf(upstream);
-  return slot ? upstreams_[*slot].inFlight : 0;
+  const auto upstreamIndex = indexOf(upstream);
+  return upstreamIndex ? upstreams_[*upstreamIndex].inFlight : 0;
 }
 
 std::vector<GrantAction> ShardOwner::want(GrantWanted wanted, Instant now) {
@@ -116,13 +117,13 @@
   std::vector<GrantAction> actions;
   if (queue_.size() >= policy_.maxQueue) {
     const GrantId id = wanted.id;
-    const GrantRefused refused = makeRoom(wanted, now);
+    const GrantRefused refused = evictLowestRanked(wanted, now);
     actions.emplace_back(refused);
     if (refused.id == id) return actions;
   }
   actions.emplace_back(Queued{wanted.id});
   queue_.push_back({std::move(wanted), now});
-  grantWaiting(now, actions);
+  grantQueued(now, actions);
   return actions;
 }
 
@@ -132,7 +133,8 @@
                    expectedWait(now));
   }
   if (usableUpstreams(now) == 0) {
-    return refusal(RefusalReason::noUpstream, "the shard has no usable upstream", kFirstShun);
+    return refusal(RefusalReason::noUpstream, "the shard has no usable upstream",
+                   kBaseEjectionTime);
   }
   if (wanted.resumption) return std::nullopt;
   if (inFlightOf_[wanted.organisation] >= policy_.organisationInFlight) {
@@ -146,10 +148,10 @@
   return refusal(RefusalReason::organisationLimit, "organisationTokensPerSecond is reached", wait);
 }
 
-/// The queue is full: the wish that would be served last goes, be it the new one.
-GrantRefused ShardOwner::makeRoom(const GrantWanted& wanted, Instant now) {
+/// Refuses the request that ranks last in the full queue, which may be the new one.
+GrantRefused ShardOwner::evictLowestRanked(const GrantWanted& wanted, Instant now) {
   const Refusal full = refusal(RefusalReason::overloaded, "the queue is full", expectedWait(now));
-  Rank last = rankOf(Waiting{wanted, now}, queue_.size(), now);
+  Rank last = rankOf(QueuedRequest{wanted, now}, queue_.size(), now);
   for (std::size_t i = 0; i < queue_.size(); ++i) {
     const Rank rank = rankOf(queue_[i], i, now);
     if (last < rank) last = rank;
@@ -160,57 +162,58 @@
   return evicted;
 }
 
-ShardOwner::Rank ShardOwner::rankOf(const Waiting& waiting, std::size_t index, Instant now) const {
-  // Aging keeps patient work from starving. What its organisation was granted in the same class
-  // ends its starving: a flood does not age past the others.
-  const auto served = lastGrant_.find({waiting.wanted.organisation, waiting.wanted.priority});
-  const Instant starving =
-      served == lastGrant_.end() ? waiting.since : std::max(waiting.since, served->second);
-  const std::chrono::duration<double, std::milli> starved = now - starving;
-  const double share = shares_.startOf(waiting.wanted.organisation);
-  const double raised = starved.count() / static_cast<double>(policy_.aging.count());
-  const double base = waiting.wanted.resumption ? kResumptionUrgency : 0;
-  const double urgency = base + static_cast<double>(waiting.wanted.priority) + raised;
-  return {-static_cast<std::int64_t>(urgency), share, waiting.since, index};
+ShardOwner::Rank ShardOwner::rankOf(const QueuedRequest& entry, std::size_t index,
+                                    Instant now) const {
+  // Aging prevents starvation of low priorities. It restarts with each grant to the organisation in
+  // the same class, so that a flood of requests doesn't age past the other organisations.
+  const auto lastServed = lastGrant_.find({entry.wanted.organisation, entry.wanted.priority});
+  const Instant starvedSince =
+      lastServed == lastGrant_.end() ? entry.since : std::max(entry.since, lastServed->second);
+  const std::chrono::duration<double, std::milli> starved = now - starvedSince;
+  const double share = fairShare_.virtualStartTime(entry.wanted.organisation);
+  const double agingBoost = starved.count() / static_cast<double>(policy_.aging.count());
+  const double base = entry.wanted.resumption ? kResumptionUrgency : 0;
+  const double urgency = base + static_cast<double>(entry.wanted.priority) + agingBoost;
+  return {-static_cast<std::int64_t>(urgency), share, entry.since, index};
 }
 
 std::optional<Granted> ShardOwner::tryGrant(const GrantWanted& wanted, Instant now) {
   std::vector<Candidate> candidates;
   std::size_t usableCount = 0;
   std::size_t usableInFlight = 0;
-  // A request that failed everywhere may go back to where it failed.
-  const bool avoidable =
+  // A request that failed at every usable upstream may be retried at one of them.
+  const bool hasUntriedUpstream =
       std::any_of(upstreams_.begin(), upstreams_.end(), [&](const OwnedUpstream& upstream) {
-        return usable(upstream, now) && !avoids(wanted, upstream.id);
+        return usable(upstream, now) && !hasFailedAt(wanted, upstream.id);
       });
   const std::vector<double> costs = computeCosts(wanted);
-  for (std::size_t slot = 0; slot < upstreams_.size(); ++slot) {
-    const OwnedUpstream& upstream = upstreams_[slot];
+  for (std::size_t upstreamIndex = 0; upstreamIndex < upstreams_.size(); ++upstreamIndex) {
+    const OwnedUpstream& upstream = upstreams_[upstreamIndex];
     if (!usable(upstream, now)) continue;
     ++usableCount;
     usableInFlight += upstream.inFlight;
-    if (!hasRoom(upstream)) continue;
-    if (avoidable && avoids(wanted, upstream.id)) continue;
-    candidates.push_back({slot, upstream.idHash, upstream.inFlight, upstream.pendingTokens,
+    if (!hasFreeSlot(upstream)) continue;
+    if (hasUntriedUpstream && hasFailedAt(wanted, upstream.id)) continue;
+    candidates.push_back({upstreamIndex, upstream.idHash, upstream.inFlight, upstream.pendingTokens,
                           upstream.prefixes.cachedTokens(wanted.prefixHashes)});
     candidates.back().computeCost =
         costs[candidates.back().cachedTokens / PrefixBlocks::kTokensPerBlock];
     if (const auto oldest = upstream.prefixes.oldestStamp()) {
-      candidates.back().evictionAge = stamp_ - *oldest;
+      candidates.back().evictionAge = prefixClock_ - *oldest;
     }
   }
   ChoiceRequest request{wanted.affinity, wanted.promptTokens, 0};
   if (usableCount > 0) {
     request.meanInFlight = static_cast<double>(usableInFlight) / static_cast<double>(usableCount);
   }
-  const auto slot = chooseUpstream(policy_.choice, request, candidates);
-  if (!slot) return std::nullopt;
+  const auto upstreamIndex = chooseUpstream(policy_.choice, request, candidates);
+  if (!upstreamIndex) return std::nullopt;
   const auto chosen = std::find_if(candidates.begin(), candidates.end(),
-                                   [&](const Candidate& c) { return c.slot == *slot; });
-  return place(wanted, *slot, chosen->cachedTokens, now);
+                                   [&](const Candidate& c) { return c.slot == *upstreamIndex; });
+  return grantAt(wanted, *upstreamIndex, chosen->cachedTokens, now);
 }
 
-/// \returns for each number of leading blocks held, what the rest of the prompt costs to compute.
+/// \returns for each number of cached leading blocks, the cost of computing the rest of the prompt.
 std::vector<double> ShardOwner::computeCosts(const GrantWanted& wanted) const {
   constexpr std::size_t kBlock = PrefixBlocks::kTokensPerBlock;
   const std::size_t blocks = wanted.prefixHashes.size();
@@ -228,19 +231,19 @@
   return costs;
 }
 
-Granted ShardOwner::place(const GrantWanted& wanted, std::size_t slot, std::size_t cached,
-                          Instant now) {
-  OwnedUpstream& upstream = upstreams_[slot];
+Granted ShardOwner::grantAt(const GrantWanted& wanted, std::size_t upstreamIndex,
+                            std::size_t cached, Instant now) {
+  OwnedUpstream& upstream = upstreams_[upstreamIndex];
   const std::size_t cost = costOf(wanted);
   ++upstream.inFlight;
   upstream.pendingTokens += cost;
   const std::size_t prefill = wanted.promptTokens - std::min(wanted.promptTokens, cached);
   upstream.prefillTokens += prefill;
-  upstream.prefixes.use(wanted.prefixHashes, ++stamp_);
+  upstream.prefixes.use(wanted.prefixHashes, ++prefixClock_);
   ++inFlightOf_[wanted.organisation];
-  shares_.charge(wanted.organisation, static_cast<double>(cost + 1), wanted.weight);
+  fairShare_.charge(wanted.organisation, static_cast<double>(cost + 1), wanted.weight);
   lastGrant_[{wanted.organisation, wanted.priority}] = now;
-  grants_[wanted.id] = {slot, wanted.organisation, cost, prefill, now};
+  grants_[wanted.id] = {upstreamIndex, wanted.organisation, cost, prefill, now};
   return {wanted.id, upstream.id, cached};
 }
 
@@ -257,8 +260,8 @@
   return order;
 }
 
-void ShardOwner::grantWaiting(Instant now, std::vector<GrantAction>& actions) {
-  while (!queue_.empty() && freePlaces(now) > 0) {
+void ShardOwner::grantQueued(Instant now, std::vector<GrantAction>& actions) {
+  while (!queue_.empty() && freeSlots(now) > 0) {
     bool any = false;
     for (const std::size_t index : queueOrder(now)) {
       const auto granted = tryGrant(queue_[index].wanted, now);
@@ -273,51 +276,51 @@
 }
 
 void ShardOwner::hold(const GrantHeld& held) {
-  auto slot = slotOf(held.upstream);
-  if (!slot) {
+  auto upstreamIndex = indexOf(held.upstream);
+  if (!upstreamIndex) {
     upstreams_.emplace_back(held.upstream, stableHash(held.upstream.str()),
                             policy_.prefixTokensPerUpstream);
-    slot = upstreams_.size() - 1;
-    upstreams_[*slot].leaving = true;
+    upstreamIndex = upstreams_.size() - 1;
+    upstreams_[*upstreamIndex].draining = true;
   }
-  ++upstreams_[*slot].inFlight;
-  upstreams_[*slot].pendingTokens += held.tokens;
+  ++upstreams_[*upstreamIndex].inFlight;
+  upstreams_[*upstreamIndex].pendingTokens += held.tokens;
   ++inFlightOf_[held.organisation];
-  grants_[held.id] = {*slot, held.organisation, held.tokens, 0, Instant{}};
+  grants_[held.id] = {*upstreamIndex, held.organisation, held.tokens, 0, Instant{}};
 }
 
 std::vector<GrantAction> ShardOwner::noteFirstToken(GrantId id, Instant now) {
   std::vector<GrantAction> actions;
   const auto it = grants_.find(id);
   if (it == grants_.end()) return actions;
-  upstreams_[it->second.slot].prefillTokens -= it->second.prefillTokens;
+  upstreams_[it->second.upstreamIndex].prefillTokens -= it->second.prefillTokens;
   it->second.prefillTokens = 0;
-  grantWaiting(now, actions);
+  grantQueued(now, actions);
   return actions;
 }
 
 std::vector<GrantAction> ShardOwner::release(GrantId id, GrantEnd end, Instant now) {
   std::vector<GrantAction> actions;
-  std::erase_if(queue_, [&](const Waiting& waiting) { return waiting.wanted.id == id; });
+  std::erase_if(queue_, [&](const QueuedRequest& entry) { return entry.wanted.id == id; });
   const auto it = grants_.find(id);
   if (it == grants_.end()) return actions;
-  OwnedUpstream& upstream = upstreams_[it->second.slot];
+  OwnedUpstream& upstream = upstreams_[it->second.upstreamIndex];
   --upstream.inFlight;
   upstream.pendingTokens -= std::min(upstream.pendingTokens, it->second.tokens);
   upstream.prefillTokens -= it->second.prefillTokens;
   const auto organisation = inFlightOf_.find(it->second.organisation);
   if (--organisation->second == 0) inFlightOf_.erase(organisation);
   grants_.erase(it);
-  noteEnd(upstream, end, now);
-  noteRelease(now);
-  grantWaiting(now, actions);
+  updateHealth(upstream, end, now);
+  updateReleaseGap(now);
+  grantQueued(now, actions);
   return actions;
 }
 
-void ShardOwner::noteEnd(OwnedUpstream& upstream, GrantEnd end, Instant now) {
+void ShardOwner::updateHealth(OwnedUpstream& upstream, GrantEnd end, Instant now) {
   switch (end) {
     case GrantEnd::finished:
-      upstream.failures = 0;
+      upstream.consecutiveFailures = 0;
       return;
     case GrantEnd::cancelled:
       return;
@@ -325,35 +328,36 @@
     case GrantEnd::broke:
       break;
   }
-  const std::uint32_t doublings = std::min(upstream.failures, 6U);
-  ++upstream.failures;
-  upstream.shunnedUntil = now + std::min(kFirstShun * (1 << doublings), kLongestShun);
+  const std::uint32_t doublings = std::min(upstream.consecutiveFailures, 6U);
+  ++upstream.consecutiveFailures;
+  upstream.ejectedUntil = now + std::min(kBaseEjectionTime * (1 << doublings), kMaxEjectionTime);
 }
 
-void ShardOwner::noteRelease(Instant now) {
-  if (lastRelease_ != Instant{}) {
-    const std::chrono::duration<double, std::milli> gap = now - lastRelease_;
-    releaseGapMs_ += kReleaseSmoothing * (gap.count() - releaseGapMs_);
+void ShardOwner::updateReleaseGap(Instant now) {
+  if (lastReleaseAt_ != Instant{}) {
+    const std::chrono::duration<double, std::milli> gap = now - lastReleaseAt_;
+    releaseGapMs_ += kReleaseGapSmoothing * (gap.count() - releaseGapMs_);
   }
-  lastRelease_ = now;
+  lastReleaseAt_ = now;
 }
 
 Millis ShardOwner::expectedWait(Instant now) const {
-  if (freePlaces(now) > queue_.size()) return kShortestRetryAfter;
+  if (freeSlots(now) > queue_.size()) return kMinRetryAfter;
   return Millis(static_cast<std::int64_t>(releaseGapMs_ * static_cast<double>(queue_.size() + 1)));
 }
 
 std::vector<GrantAction> ShardOwner::tick(Instant now) {
   std::vector<GrantAction> actions;
-  grantWaiting(now, actions);
+  grantQueued(now, actions);
   const Millis wait = expectedWait(now);
-  const bool none = usableUpstreams(now) == 0;
-  std::erase_if(queue_, [&](const Waiting& waiting) {
-    if (now < waiting.wanted.deadline && !none) return false;
-    const Refusal gone =
-        none ? refusal(RefusalReason::noUpstream, "the shard has no usable upstream", kFirstShun)
-             : refusal(RefusalReason::overloaded, "waited queueLimitMs for a place", wait);
-    actions.emplace_back(GrantRefused{waiting.wanted.id, gone});
+  const bool noneUsable = usableUpstreams(now) == 0;
+  std::erase_if(queue_, [&](const QueuedRequest& entry) {
+    if (now < entry.wanted.deadline && !noneUsable) return false;
+    const Refusal expired =
+        noneUsable ? refusal(RefusalReason::noUpstream, "the shard has no usable upstream",
+                             kBaseEjectionTime)
+                   : refusal(RefusalReason::overloaded, "waited queueLimitMs for a place", wait);
+    actions.emplace_back(GrantRefused{entry.wanted.id, expired});
     return true;
   });
   return actions;
--- a/Hallchute/src/Admission/ShardOwner.h
+++ b/Hallchute/src/Admission/ShardOwner.h
@@ -18,58 +18,58 @@
 
 namespace Hallchute {
 
-/// \brief Hands out the places of one shard's upstreams.
+/// \brief Grants slots at the upstreams of one shard.
 /// \ingroup Admission
 ///
-/// Events and the time go in, actions come out; no I/O, no clock, one thread. Every wish gets
-/// exactly one final action (Granted or GrantRefused), unless it is released before.
+/// Takes events with their time and returns actions; no I/O, no clock, not thread-safe. Every
+/// request gets exactly one final action (Granted or GrantRefused), unless it is released before.
 ///
-/// Order of the queue: resumptions first, then class priority raised by the time for which the
-/// organisation got nothing in that class, then the organisation that had least of its weighted
-/// share, then age. Cost: a grant from the queue is
-/// one pass over the wishes and one over the upstreams.
+/// Order of the queue: resumptions first, then by class priority plus aging, which grows with the
+/// time since the organisation's last grant in that class, then the organisation with the least of
+/// its weighted share, then by age. Cost: a grant from the queue takes one pass over the queued
+/// requests and one over the upstreams.
 class ShardOwner {
  public:
   explicit ShardOwner(const ShardPolicy& policy);
 
   void setPolicy(const ShardPolicy& policy);
-  /// \brief Sets the upstreams that live. Those not named are forgotten once their work ends.
+  /// \brief Sets the live upstreams. Others drain, and are removed once their requests have ended.
   std::vector<GrantAction> setUpstreams(std::span<const UpstreamId> live, Instant now);
-  /// \brief From now on nothing is granted at \p upstream. Idempotent.
+  /// \brief Stops new grants at \p upstream. Idempotent.
   std::vector<GrantAction> markLeaving(const UpstreamId& upstream, Instant now);
   std::vector<GrantAction> want(GrantWanted wanted, Instant now);
-  /// \brief Counts work that an earlier owner granted.
+  /// \brief Restores a grant that a previous owner made.
   void hold(const GrantHeld& held);
-  /// \brief The work's prompt is computed: its upstream can take the next one.
+  /// \brief Ends the request's prefill, so that its upstream can be granted another one.
   std::vector<GrantAction> noteFirstToken(GrantId id, Instant now);
-  /// \brief Frees the place or leaves the queue. Unknown ids are ignored.
+  /// \brief Frees the grant's slot or removes the request from the queue. Ignores unknown ids.
   std::vector<GrantAction> release(GrantId id, GrantEnd end, Instant now);
-  /// \brief Refuses wishes whose deadline passed; call it every few tens of ms.
+  /// \brief Refuses queued requests whose deadline has passed. Call it every few tens of ms.
   std::vector<GrantAction> tick(Instant now);
 
   std::size_t queued() const { return queue_.size(); }
   std::size_t inFlight() const { return grants_.size(); }
   std::size_t inFlightAt(const UpstreamId& upstream) const;
-  /// \brief Places not taken, over all usable upstreams.
-  std::size_t freePlaces(Instant now) const;
+  /// \brief Free slots, over all usable upstreams.
+  std::size_t freeSlots(Instant now) const;
   std::size_t usableUpstreams(Instant now) const;
 
  private:
-  struct Waiting {
+  struct QueuedRequest {
     GrantWanted wanted;
     Instant since;
   };
-  struct Running {
-    std::size_t slot;
+  struct ActiveGrant {
+    std::size_t upstreamIndex;
     OrganisationName organisation;
     std::size_t tokens;
     std::size_t prefillTokens;
     Instant since;
   };
 
-  /// A wish's place in the queue: lower goes first.
+  /// A request's sort key in the queue: lower goes first.
   struct Rank {
-    std::int64_t step;
+    std::int64_t urgencyRank;
     double share;
     Instant since;
     std::size_t index;
@@ -77,35 +77,36 @@
   };
 
   std::optional<Refusal> limitRefusal(const GrantWanted& wanted, Instant now);
-  GrantRefused makeRoom(const GrantWanted& wanted, Instant now);
+  GrantRefused evictLowestRanked(const GrantWanted& wanted, Instant now);
   std::optional<Granted> tryGrant(const GrantWanted& wanted, Instant now);
   std::vector<double> computeCosts(const GrantWanted& wanted) const;
-  Granted place(const GrantWanted& wanted, std::size_t slot, std::size_t cached, Instant now);
-  void grantWaiting(Instant now, std::vector<GrantAction>& actions);
+  Granted grantAt(const GrantWanted& wanted, std::size_t upstreamIndex, std::size_t cached,
+                  Instant now);
+  void grantQueued(Instant now, std::vector<GrantAction>& actions);
   std::vector<std::size_t> queueOrder(Instant now) const;
-  Rank rankOf(const Waiting& waiting, std::size_t index, Instant now) const;
+  Rank rankOf(const QueuedRequest& entry, std::size_t index, Instant now) const;
   bool usable(const OwnedUpstream& upstream, Instant now) const;
-  std::size_t limitOf(const OwnedUpstream& upstream) const;
-  bool hasRoom(const OwnedUpstream& upstream) const;
-  void noteEnd(OwnedUpstream& upstream, GrantEnd end, Instant now);
-  std::optional<std::size_t> slotOf(const UpstreamId& upstream) const;
+  std::size_t concurrencyLimit(const OwnedUpstream& upstream) const;
+  bool hasFreeSlot(const OwnedUpstream& upstream) const;
+  void updateHealth(OwnedUpstream& upstream, GrantEnd end, Instant now);
+  std::optional<std::size_t> indexOf(const UpstreamId& upstream) const;
   Millis expectedWait(Instant now) const;
-  void noteRelease(Instant now);
+  void updateReleaseGap(Instant now);
 
   ShardPolicy policy_;
   std::vector<OwnedUpstream> upstreams_;
-  std::vector<Waiting> queue_;
-  std::map<GrantId, Running> grants_;
+  std::vector<QueuedRequest> queue_;
+  std::map<GrantId, ActiveGrant> grants_;
   std::map<OrganisationName, std::size_t> inFlightOf_;
   std::map<OrganisationName, TokenBucket> buckets_;
-  FairShare shares_;
-  /// When an organisation was last granted something, by class priority.
+  FairShare fairShare_;
+  /// Time of an organisation's last grant, by class priority.
   std::map<std::pair<OrganisationName, std::int64_t>, Instant> lastGrant_;
-  /// Counts prompts sent; the clock of the prefix indices.
-  std::uint64_t stamp_ = 0;
-  /// Smoothed time between releases, for an honest Retry-After.
+  /// Number of prompts granted: the logical clock of the prefix indices.
+  std::uint64_t prefixClock_ = 0;
+  /// Smoothed time between releases, from which Retry-After is estimated.
   double releaseGapMs_ = 0;
-  Instant lastRelease_{};
+  Instant lastReleaseAt_{};
 };
 
 }  // namespace Hallchute
--- a/Hallchute/src/Admission/ShardPolicy.h
+++ b/Hallchute/src/Admission/ShardPolicy.h
@@ -11,12 +11,12 @@
 
 namespace Hallchute {
 
-/// \brief The numbers a shard owner works by; set anew when the settings change.
+/// \brief Limits and weights of a shard owner, updated when the settings change.
 /// \ingroup Admission
 struct ShardPolicy {
   std::size_t maxQueue = 200;
   std::size_t maxInFlightPerUpstream = 16;
-  /// An upstream with so many prompt tokens left to compute is granted nothing more.
+  /// No more grants at an upstream with at least this many prompt tokens left to compute.
   std::size_t maxPrefillTokensPerUpstream = 8'000;
   std::size_t organisationInFlight = 1'000;
   double organisationTokensPerSecond = 0;
--- a/Hallchute/src/Admission/TokenBucket.cpp
+++ b/Hallchute/src/Admission/TokenBucket.cpp
@@ -9,31 +9,32 @@
 namespace Hallchute {
 
 void TokenBucket::setRate(double perSecond, Instant now) {
-  if (perSecond == perSecond_) return;
+  if (perSecond == tokensPerSecond_) return;
   refill(now);
-  if (perSecond_ == 0) level_ = perSecond;
-  perSecond_ = perSecond;
-  level_ = std::min(level_, perSecond_);
+  if (tokensPerSecond_ == 0) available_ = perSecond;
+  tokensPerSecond_ = perSecond;
+  available_ = std::min(available_, tokensPerSecond_);
 }
 
 void TokenBucket::refill(Instant now) {
-  const std::chrono::duration<double> passed = now - last_;
-  last_ = now;
-  level_ = std::min(perSecond_, level_ + passed.count() * perSecond_);
+  const std::chrono::duration<double> passed = now - lastRefill_;
+  lastRefill_ = now;
+  available_ = std::min(tokensPerSecond_, available_ + passed.count() * tokensPerSecond_);
 }
 
 Millis TokenBucket::take(double amount, Instant now) {
-  if (perSecond_ == 0) return Millis(0);
+  if (tokensPerSecond_ == 0) return Millis(0);
   refill(now);
-  if (level_ < 0) {
-    return Millis(std::max<std::int64_t>(1, std::llround(std::ceil(-level_ / perSecond_ * 1000))));
+  if (available_ < 0) {
+    return Millis(
+        std::max<std::int64_t>(1, std::llround(std::ceil(-available_ / tokensPerSecond_ * 1000))));
   }
-  level_ -= amount;
+  available_ -= amount;
   return Millis(0);
 }
 
-void TokenBucket::giveBack(double amount) {
-  if (perSecond_ > 0) level_ = std::min(perSecond_, level_ + amount);
+void TokenBucket::refund(double amount) {
+  if (tokensPerSecond_ > 0) available_ = std::min(tokensPerSecond_, available_ + amount);
 }
 
 }  // namespace Hallchute
--- a/Hallchute/src/Admission/TokenBucket.h
+++ b/Hallchute/src/Admission/TokenBucket.h
@@ -8,27 +8,27 @@
 
 namespace Hallchute {
 
-/// \brief A rate limit with a burst of one second's worth.
+/// \brief A token bucket with a burst of one second's worth.
 /// \ingroup Admission
 ///
-/// It may go into debt by one request, so a request larger than the burst is still served, and the
-/// ones after it wait for the debt to be paid.
+/// One request may overdraw it, so that a request larger than the burst is still admitted. Later
+/// ones wait until the deficit is refilled.
 class TokenBucket {
  public:
-  /// \param perSecond 0 is no limit.
+  /// \param perSecond tokens per second; 0 for no limit.
   void setRate(double perSecond, Instant now);
-  /// \brief Takes \p amount if nothing is owed.
-  /// \returns zero if taken, else the time until nothing is owed.
+  /// \brief Takes \p amount unless the bucket is overdrawn.
+  /// \returns zero if taken, else the time until the deficit is refilled.
   Millis take(double amount, Instant now);
-  /// \brief Returns what was taken for work that did not run.
-  void giveBack(double amount);
+  /// \brief Returns tokens that were taken for a request that did not run.
+  void refund(double amount);
 
  private:
   void refill(Instant now);
 
-  double perSecond_ = 0;
-  double level_ = 0;
-  Instant last_{};
+  double tokensPerSecond_ = 0;
+  double available_ = 0;
+  Instant lastRefill_{};
 };
 
 }  // namespace Hallchute
--- a/Hallchute/src/Capacity/ReplicaOrder.h
+++ b/Hallchute/src/Capacity/ReplicaOrder.h
@@ -11,17 +11,17 @@
 
 namespace Hallchute {
 
-/// \brief Replicas that are ordered together: of a service, in a failure domain, of one kind.
+/// \brief The unit of an order: a service's replicas of one kind in one failure domain.
 /// \ingroup Capacity
 struct ReplicaGroup {
   ServiceName service;
   DomainName domain;
-  /// Cheaper, and the platform may take them away.
+  /// Cheaper, but the platform may reclaim them.
   bool reclaimable = false;
   auto operator<=>(const ReplicaGroup&) const = default;
 };
 
-/// \brief How many replicas of a group there should be. \ingroup Capacity
+/// \brief The desired number of replicas of a group. \ingroup Capacity
 struct ReplicaOrder {
   ReplicaGroup group;
   std::uint32_t count = 0;
--- a/Hallchute/src/Capacity/ReplicaPlanner.cpp
+++ b/Hallchute/src/Capacity/ReplicaPlanner.cpp
@@ -9,16 +9,16 @@
 namespace Hallchute {
 namespace {
 
-/// How many boot times a reclaimable replica is waited for before an on-demand one is ordered in
-/// its place: one, and half of one for the order and the replica's entry in the directory.
-constexpr double kBootsWaitedFor = 1.5;
+/// Boot times to wait for a reclaimable replica before ordering an on-demand one instead: one for
+/// the boot, and half of one for the order and the replica's entry in the directory.
+constexpr double kBootTimesBeforeFallback = 1.5;
 
-double priceIn(const ReplicaLimits& limits, const DomainName& domain) {
+double priceOf(const ReplicaLimits& limits, const DomainName& domain) {
   const auto it = limits.domainPrices.find(domain);
   return it == limits.domainPrices.end() ? 1.0 : it->second;
 }
 
-std::uint32_t dividedUp(std::uint32_t total, std::uint32_t parts) {
+std::uint32_t divideRoundingUp(std::uint32_t total, std::uint32_t parts) {
   return (total + parts - 1) / parts;
 }
 
@@ -40,7 +40,7 @@
 }
 
 void ReplicaPlanner::noteRefused(const ReplicaGroup& group, Instant now) {
-  refusedUntil_[group] = now + policy_.refusedFor;
+  refusedUntil_[group] = now + policy_.refusalCooldown;
 }
 
 std::uint32_t ReplicaPlanner::need(const ServiceName& service) const {
@@ -48,50 +48,51 @@
   return it == demands_.end() ? 0 : it->second.need;
 }
 
-/// What was there before this planner's own orders.
-void ReplicaPlanner::look(const GatewayService& service, const Domains& domains, Instant now) {
+/// Records the replicas that exist without this planner's own orders.
+void ReplicaPlanner::observeInitialReplicas(const GatewayService& service, const Domains& domains,
+                                            Instant now) {
   Demand& demand = demands_[service.name];
-  if (demand.firstLook == Instant{}) demand.firstLook = now;
-  // The directory of a fleet that starts fills entry by entry.
-  if (demand.loadSeen || now - demand.firstLook > policy_.firstLooks) return;
+  if (demand.firstObservedAt == Instant{}) demand.firstObservedAt = now;
+  // While a fleet starts, its replicas enter the directory one by one.
+  if (demand.loadSeen || now - demand.firstObservedAt > policy_.discoveryPeriod) return;
   std::uint32_t found = 0;
   for (const auto& [domain, present] : domains) {
     found += present.onDemand;
     if (ordered_.contains({service.name, domain, true})) continue;
     found += present.reclaimable;
-    demand.hasMargin = demand.hasMargin || present.reclaimable > 0;
+    demand.includesReclaimable = demand.includesReclaimable || present.reclaimable > 0;
   }
-  demand.found = std::max(demand.found, found);
+  demand.initialReplicas = std::max(demand.initialReplicas, found);
 }
 
-/// Before the load is known there is nothing to go by but what was there: an earlier holder's
-/// choice, with its margin for a lost domain, or a start's, of which the quotas tell how much is
-/// needed.
-std::uint32_t ReplicaPlanner::neededAtFirst(const Demand& demand, const CapacityView& view,
-                                            std::size_t domains) const {
-  if (demand.hasMargin && domains > 1) {
-    return static_cast<std::uint32_t>(demand.found * (domains - 1) / domains);
+/// Estimates the need from the replicas found, before the load is known. A previous holder ordered
+/// reclaimable ones with a margin for a lost domain, which is taken off. Those found at a first
+/// start are limited to what the quotas need.
+std::uint32_t ReplicaPlanner::initialNeed(const Demand& demand, const CapacityView& view,
+                                          std::size_t domains) const {
+  if (demand.includesReclaimable && domains > 1) {
+    return static_cast<std::uint32_t>(demand.initialReplicas * (domains - 1) / domains);
   }
-  if (tookOver_) return demand.found;
-  if (view.quotaTokens <= 0) return demand.found;
+  if (tookOver_) return demand.initialReplicas;
+  if (view.quotaTokens <= 0) return demand.initialReplicas;
   const double replicas = std::ceil(view.quotaTokens / policy_.quotaTokensPerReplica);
-  return std::min(demand.found, static_cast<std::uint32_t>(replicas));
+  return std::min(demand.initialReplicas, static_cast<std::uint32_t>(replicas));
 }
 
-std::uint32_t ReplicaPlanner::needed(const GatewayService& service, const CapacityView& view,
-                                     std::size_t domains, Instant now) {
+std::uint32_t ReplicaPlanner::updateNeed(const GatewayService& service, const CapacityView& view,
+                                         std::size_t domains, Instant now) {
   const auto found = view.load.find(service.name);
   const std::uint32_t load = found == view.load.end() ? 0 : found->second;
   Demand& demand = demands_[service.name];
   demand.loadSeen = demand.loadSeen || load > 0;
-  const auto forLoad = static_cast<std::uint32_t>(std::ceil(load / policy_.runsPerReplica));
-  std::uint32_t need = std::max(policy_.least, forLoad + policy_.spare);
-  // A new holder's first word of the load may come from few daemons.
-  const bool early = tookOver_ && now - demand.firstLook < policy_.holdFor;
-  if (early || !demand.loadSeen) need = std::max(need, neededAtFirst(demand, view, domains));
-  if (need >= demand.need || now >= demand.until) {
+  const auto forLoad = static_cast<std::uint32_t>(std::ceil(load / policy_.requestsPerReplica));
+  std::uint32_t need = std::max(policy_.minReplicas, forLoad + policy_.spareReplicas);
+  // The first load that a new holder sees may come from few daemons.
+  const bool early = tookOver_ && now - demand.firstObservedAt < policy_.scaleDownDelay;
+  if (early || !demand.loadSeen) need = std::max(need, initialNeed(demand, view, domains));
+  if (need >= demand.need || now >= demand.heldUntil) {
     demand.need = need;
-    demand.until = now + policy_.holdFor;
+    demand.heldUntil = now + policy_.scaleDownDelay;
   }
   return demand.need;
 }
@@ -101,45 +102,45 @@
   for (const GatewayService& service : view.services) {
     if (!service.replicas) continue;
     Domains domains;
-    std::set<DomainName>& seen = seen_[service.name];
+    std::set<DomainName>& seen = knownDomains_[service.name];
     for (const UpstreamRecord& upstream : view.upstreams) {
       if (upstream.service != service.name) continue;
       seen.insert(upstream.domain);
       if (upstream.state == UpstreamState::draining) continue;
-      Present& present = domains[upstream.domain];
+      ReplicaCounts& present = domains[upstream.domain];
       ++(upstream.reclaimable ? present.reclaimable : present.onDemand);
     }
     for (const DomainName& domain : seen) domains.try_emplace(domain);
     if (domains.empty()) continue;
-    look(service, domains, now);
-    const std::uint32_t need = needed(service, view, domains.size(), now);
+    observeInitialReplicas(service, domains, now);
+    const std::uint32_t need = updateNeed(service, view, domains.size(), now);
     planService(service, domains, need, now, orders);
   }
   return orders;
 }
 
-std::map<DomainName, std::uint32_t> ReplicaPlanner::reclaimableWanted(const GatewayService& service,
-                                                                      const Domains& domains,
-                                                                      std::uint32_t need,
-                                                                      Instant now) const {
+std::map<DomainName, std::uint32_t> ReplicaPlanner::reclaimableTargets(
+    const GatewayService& service, const Domains& domains, std::uint32_t need, Instant now) const {
   std::map<DomainName, std::uint32_t> wanted;
   if (!service.replicas->reclaimablePrice) return wanted;
-  std::uint32_t open = 0;
+  std::uint32_t orderableDomains = 0;
   for (const auto& [domain, present] : domains) {
-    if (!refused({service.name, domain, true}, now)) ++open;
+    if (!refused({service.name, domain, true}, now)) ++orderableDomains;
   }
-  // With one domain lost, the others carry the need.
-  const std::uint32_t carriers = std::max<std::uint32_t>(1, open > 1 ? open - 1 : open);
-  const std::uint32_t each = std::min(dividedUp(need, carriers), service.replicas->most);
+  // If one domain is lost, the others must cover the need.
+  const std::uint32_t survivingDomains =
+      std::max<std::uint32_t>(1, orderableDomains > 1 ? orderableDomains - 1 : orderableDomains);
+  const std::uint32_t perDomain =
+      std::min(divideRoundingUp(need, survivingDomains), service.replicas->most);
   for (const auto& [domain, present] : domains) {
-    wanted[domain] = refused({service.name, domain, true}, now) ? present.reclaimable : each;
+    wanted[domain] = refused({service.name, domain, true}, now) ? present.reclaimable : perDomain;
   }
   return wanted;
 }
 
-std::uint32_t ReplicaPlanner::coming(const GatewayService& service,
-                                     const std::map<DomainName, std::uint32_t>& wanted,
-                                     std::uint32_t ready, Instant now) {
+std::uint32_t ReplicaPlanner::expectedReady(const GatewayService& service,
+                                            const std::map<DomainName, std::uint32_t>& wanted,
+                                            std::uint32_t ready, Instant now) {
   std::uint32_t expected = 0;
   for (const auto& [domain, count] : wanted) expected += count;
   if (expected <= ready) {
@@ -147,36 +148,38 @@
     return ready;
   }
   const Instant since = bootingSince_.try_emplace(service.name, now).first->second;
-  const auto patience =
-      std::chrono::duration<double, std::milli>(service.replicas->boot) * kBootsWaitedFor;
-  return now - since <= patience ? expected : ready;
+  const auto bootTimeout =
+      std::chrono::duration<double, std::milli>(service.replicas->boot) * kBootTimesBeforeFallback;
+  return now - since <= bootTimeout ? expected : ready;
 }
 
-std::map<DomainName, std::uint32_t> ReplicaPlanner::onDemandWanted(const GatewayService& service,
-                                                                   const Domains& domains,
-                                                                   std::uint32_t need,
-                                                                   Reclaimable reclaimable) const {
+std::map<DomainName, std::uint32_t> ReplicaPlanner::onDemandTargets(const GatewayService& service,
+                                                                    const Domains& domains,
+                                                                    std::uint32_t need,
+                                                                    Reclaimable reclaimable) const {
   const ReplicaLimits& limits = *service.replicas;
   std::vector<DomainName> byPrice;
   for (const auto& [domain, present] : domains) byPrice.push_back(domain);
   std::stable_sort(byPrice.begin(), byPrice.end(), [&](const auto& a, const auto& b) {
-    return priceIn(limits, a) < priceIn(limits, b);
+    return priceOf(limits, a) < priceOf(limits, b);
   });
-  const auto open = [&](std::uint32_t carried) {
-    return std::max(policy_.onDemandFloor, need > carried ? need - carried : 0);
+  const auto uncovered = [&](std::uint32_t covered) {
+    return std::max(policy_.minOnDemandReplicas, need > covered ? need - covered : 0);
   };
   std::map<DomainName, std::uint32_t> wanted;
   std::uint32_t total = 0;
-  // Those that are there stay until reclaimable ones are ready; more are ordered only for what no
-  // reclaimable one is coming for, as both take as long to boot.
-  for (const bool keep : {true, false}) {
-    const std::uint32_t most = open(keep ? reclaimable.ready : reclaimable.coming);
+  // First pass: existing on-demand replicas stay until reclaimable ones are ready to replace them.
+  // Second pass: more are ordered only for the need that pending reclaimable ones don't cover, as
+  // both kinds take equally long to boot.
+  for (const bool keepExisting : {true, false}) {
+    const std::uint32_t target =
+        uncovered(keepExisting ? reclaimable.ready : reclaimable.expectedReady);
     for (const DomainName& domain : byPrice) {
-      const Present& present = domains.at(domain);
+      const ReplicaCounts& present = domains.at(domain);
       const std::uint32_t room = limits.most - std::min(limits.most, present.reclaimable);
-      const std::uint32_t bound = keep ? std::min(room, present.onDemand) : room;
+      const std::uint32_t bound = keepExisting ? std::min(room, present.onDemand) : room;
       std::uint32_t& have = wanted[domain];
-      const std::uint32_t left = most > total ? most - total : 0;
+      const std::uint32_t left = target > total ? target - total : 0;
       const std::uint32_t more = std::min(left, bound > have ? bound - have : 0);
       have += more;
       total += more;
@@ -189,37 +192,39 @@
                                  std::uint32_t need, Instant now,
                                  std::vector<ReplicaOrder>& orders) {
   const ReplicaLimits& limits = *service.replicas;
-  const auto wanted = reclaimableWanted(service, domains, need, now);
+  const auto wanted = reclaimableTargets(service, domains, need, now);
   std::uint32_t ready = 0;
   for (const auto& [domain, present] : domains) ready += present.reclaimable;
   for (const auto& [domain, count] : wanted) {
     const ReplicaGroup group{service.name, domain, true};
-    if (!refused(group, now)) add({group, count}, domains.at(domain).reclaimable, now, orders);
+    if (!refused(group, now))
+      addIfChanged({group, count}, domains.at(domain).reclaimable, now, orders);
   }
-  const Reclaimable reclaimable{ready, coming(service, wanted, ready, now)};
-  const auto onDemand = onDemandWanted(service, domains, need, reclaimable);
+  const Reclaimable reclaimable{ready, expectedReady(service, wanted, ready, now)};
+  const auto onDemand = onDemandTargets(service, domains, need, reclaimable);
   for (const auto& [domain, count] : onDemand) {
-    const Present& present = domains.at(domain);
+    const ReplicaCounts& present = domains.at(domain);
     const std::uint32_t floor =
         limits.least > present.reclaimable ? limits.least - present.reclaimable : 0;
     const ReplicaGroup group{service.name, domain, false};
     if (refused(group, now)) continue;
-    add({group, std::max(count, floor)}, present.onDemand, now, orders);
+    addIfChanged({group, std::max(count, floor)}, present.onDemand, now, orders);
   }
 }
 
-void ReplicaPlanner::add(const ReplicaOrder& order, std::uint32_t present, Instant now,
-                         std::vector<ReplicaOrder>& orders) {
+void ReplicaPlanner::addIfChanged(const ReplicaOrder& order, std::uint32_t present, Instant now,
+                                  std::vector<ReplicaOrder>& orders) {
   const auto last = ordered_.find(order.group);
-  std::uint32_t standing = last == ordered_.end() ? present : last->second;
-  if (present >= standing) {
-    shortSince_.erase(order.group);
-  } else if (now - shortSince_.try_emplace(order.group, now).first->second > policy_.shortFor) {
-    // They were taken away, or never came: the order is given again.
-    shortSince_.erase(order.group);
-    standing = present;
+  std::uint32_t lastOrdered = last == ordered_.end() ? present : last->second;
+  if (present >= lastOrdered) {
+    shortfallSince_.erase(order.group);
+  } else if (now - shortfallSince_.try_emplace(order.group, now).first->second >
+             policy_.shortfallTimeout) {
+    // The missing replicas were reclaimed or never started: repeat the order.
+    shortfallSince_.erase(order.group);
+    lastOrdered = present;
   }
-  if (standing != order.count) orders.push_back(order);
+  if (lastOrdered != order.count) orders.push_back(order);
 }
 
 }  // namespace Hallchute
--- a/Hallchute/src/Duty/DutyKeeper.cpp
+++ b/Hallchute/src/Duty/DutyKeeper.cpp
@@ -11,26 +11,28 @@
 namespace Hallchute {
 namespace {
 
-/// After a window's end until all daemons' counts of it are in: several report periods, and the
-/// answers that tell of a run only afterwards.
-constexpr Millis kSettle{2'500};
-/// A silent holder is given up this much after its lease: its clock and ours may drift, and its
-/// last call may be under way.
+/// Delay from a window's end until the counts of all daemons have arrived: several report periods,
+/// plus the responses after which a run is only then counted.
+constexpr Millis kMinFinalisationDelay{2'500};
+/// Added to the lease of a silent holder before a takeover: the clocks may drift, and the holder's
+/// last call may still be in flight.
 constexpr Millis kLeaseMargin{1'000};
-/// Between two tries at a call that failed.
-constexpr Millis kRetry{400};
-/// Left until a report is due when incomplete counts are fixed: a turn, the write and the call,
-/// each of which may time out once and be tried again.
-constexpr Millis kReportTime{3'250};
-/// Between two writes of what is counted of windows under way: what is lost if all daemons end.
-constexpr Millis kCheckpointEvery{1'000};
-/// The store has answered another daemon within this: a report period and the way by two relays.
-constexpr Millis kStoreAnswers{1'000};
-/// How often a daemon that waits for a holder's lease to end reads the record again: the holder may
-/// have given it up.
-constexpr Millis kReadEvery{1'000};
-/// Windows kept in the record: those that may still be due, and one more.
-constexpr std::int64_t kFixedKept = 4;
+/// Delay before a failed call is retried.
+constexpr Millis kRetryDelay{400};
+/// Time before a report's deadline at which incomplete counts are finalised. Covers one polling
+/// period, the write and the report call, each of which may time out once and be retried.
+constexpr Millis kReportReserve{3'250};
+/// Interval between checkpoints of the counts of open windows. Bounds what is lost if all daemons
+/// stop at once.
+constexpr Millis kCheckpointInterval{1'000};
+/// The store counts as reachable by other daemons if it answered one within this time: a report
+/// period plus the delay over two relays.
+constexpr Millis kMaxStoreAge{1'000};
+/// Interval at which a daemon that waits for the holder's lease to expire rereads the record: the
+/// holder may have released it.
+constexpr Millis kReadInterval{1'000};
+/// Reported windows kept in the record: those that may still be due, and one more.
+constexpr std::int64_t kRetainedWindows = 4;
 
 }  // namespace
 
@@ -38,253 +40,257 @@
     : policy_(policy), self_{std::move(self), incarnation, 0} {}
 
 DutyHolder DutyKeeper::holder() const {
-  DutyHolder holder = known_ ? known_->record.holder : DutyHolder{};
-  if (resigned_) holder.learn(*resigned_);
+  DutyHolder holder = stored_ ? stored_->record.holder : DutyHolder{};
+  if (resignedHolder_) holder.learn(*resignedHolder_);
   return holder;
 }
 
 bool DutyKeeper::renewedWithin(Millis time, Instant now) const {
-  return holds_ && now - renewed_ <= time;
+  return holdsDuties_ && now - renewedAt_ <= time;
 }
 
 DutyStep DutyKeeper::renewal() const {
-  return DutySteps::Write{known_->record, known_->revision};
+  return DutySteps::Write{stored_->record, stored_->revision};
 }
 
 DutyStep DutyKeeper::release(const DutyFacts& facts) const {
-  DutyRecord record = known_->record;
-  record.counted = unfixed(facts, record);
+  DutyRecord record = stored_->record;
+  record.counted = openWindowUsage(facts, record);
   record.holder = DutyHolder{{}, 0, record.holder.epoch};
-  return DutySteps::Write{std::move(record), known_->revision};
+  return DutySteps::Write{std::move(record), stored_->revision};
 }
 
 void DutyKeeper::stepDown() {
-  holds_ = false;
-  known_.reset();
-  pending_.reset();
-  sending_.reset();
+  holdsDuties_ = false;
+  stored_.reset();
+  pendingRecord_.reset();
+  pendingReport_.reset();
 }
 
-bool DutyKeeper::isFirst(const DutyFacts& facts) const {
+bool DutyKeeper::isPreferredCandidate(const DutyFacts& facts) const {
   auto first = facts.heard.begin();
   const bool resigned = facts.named.resigned && facts.heard.size() > 1;
   if (resigned && first->first == facts.named.daemon) ++first;
   return first != facts.heard.end() && first->first == self_.daemon;
 }
 
-bool DutyKeeper::isNamed(const DutyFacts& facts) const {
+bool DutyKeeper::isReportedHolder(const DutyFacts& facts) const {
   return facts.named.daemon == self_.daemon && facts.named.incarnation == self_.incarnation;
 }
 
-bool DutyKeeper::isHeldElsewhere(const DutyFacts& facts) const {
+bool DutyKeeper::isHeldByLiveDaemon(const DutyFacts& facts) const {
   const DutyHolder& named = facts.named;
   if (named.epoch == 0 || named.resigned || named.daemon == self_.daemon) return false;
   const auto heard = facts.heard.find(named.daemon);
   return heard != facts.heard.end() && heard->second == named.incarnation;
 }
 
-bool DutyKeeper::resignsNow(const DutyFacts& facts, Instant now) const {
-  if (!isNamed(facts) || facts.named.resigned || !unansweredSince_) return false;
-  return now - *unansweredSince_ >= policy_.lease && facts.storeAge <= kStoreAnswers;
+bool DutyKeeper::shouldResign(const DutyFacts& facts, Instant now) const {
+  if (!isReportedHolder(facts) || facts.named.resigned || !unavailableSince_) return false;
+  return now - *unavailableSince_ >= policy_.lease && facts.storeAge <= kMaxStoreAge;
 }
 
 void DutyKeeper::resign(const DutyHolder& holder) {
   stepDown();
-  resigned_ = holder;
-  resigned_->resigned = true;
+  resignedHolder_ = holder;
+  resignedHolder_->resigned = true;
 }
 
-bool DutyKeeper::mayTake(const DutyFacts& facts, Instant now) const {
-  const DutyHolder& holder = known_->record.holder;
+bool DutyKeeper::mayTakeOver(const DutyFacts& facts, Instant now) const {
+  const DutyHolder& holder = stored_->record.holder;
   if (holder.daemon.empty()) return true;
   const auto heard = facts.heard.find(holder.daemon);
-  // A later incarnation means that the one that held them is no more.
+  // A different incarnation means that the process that held the duties has ended.
   if (heard != facts.heard.end()) {
     const bool resigned = facts.named.resigned && facts.named.epoch == holder.epoch;
     return resigned || heard->second != holder.incarnation;
   }
-  return now - seenSince_ >= policy_.lease + kLeaseMargin;
+  return now - unchangedSince_ >= policy_.lease + kLeaseMargin;
 }
 
-DutyRecord DutyKeeper::taken(const DutyRecord& before) {
-  inherited_ = before.counted;
+DutyRecord DutyKeeper::recordAfterTakeover(const DutyRecord& before) {
+  inheritedUsage_ = before.counted;
   DutyRecord record = before;
   record.holder = self_;
   record.holder.epoch = before.holder.epoch + 1;
-  // Nobody is left who counted them: they add to what is counted from now on.
-  if (allAreNew_) record.orphaned = record.counted;
+  // No running daemon reports these counts, so they are added to those reported from now on.
+  if (previousFleetEnded_) record.orphaned = record.counted;
   return record;
 }
 
 DutyStep DutyKeeper::next(const DutyFacts& facts, Instant now) {
   if (now < retryAt_) return DutySteps::Nothing{};
-  if (resignsNow(facts, now)) resign(facts.named);
-  if (holds_ && facts.named.epoch > holder().epoch) stepDown();
-  return holds_ ? nextAsHolder(facts, now) : nextAsOther(facts, now);
+  if (shouldResign(facts, now)) resign(facts.named);
+  if (holdsDuties_ && facts.named.epoch > holder().epoch) stepDown();
+  return holdsDuties_ ? nextAsHolder(facts, now) : nextAsNonHolder(facts, now);
 }
 
-DutyStep DutyKeeper::nextAsOther(const DutyFacts& facts, Instant now) {
+DutyStep DutyKeeper::nextAsNonHolder(const DutyFacts& facts, Instant now) {
   if (!facts.met) return DutySteps::Nothing{};
-  // A holder that no longer knows whether it holds is waited for by all others.
-  if (!isFirst(facts) && !isNamed(facts)) {
-    // What was read may change unseen while another daemon is first.
-    known_.reset();
-    absent_ = false;
+  // A holder whose last write has an unknown outcome rereads the record itself: the others wait for
+  // it.
+  if (!isPreferredCandidate(facts) && !isReportedHolder(facts)) {
+    // The cached record may become stale while another daemon is the preferred candidate.
+    stored_.reset();
+    recordAbsent_ = false;
     return DutySteps::Nothing{};
   }
-  if (isHeldElsewhere(facts)) {
-    known_.reset();
+  if (isHeldByLiveDaemon(facts)) {
+    stored_.reset();
     return DutySteps::Nothing{};
   }
-  if (absent_) {
-    pending_ = taken({});
-    return DutySteps::Create{*pending_};
+  if (recordAbsent_) {
+    pendingRecord_ = recordAfterTakeover({});
+    return DutySteps::Create{*pendingRecord_};
   }
-  if (!known_) {
-    // Whoever runs since before the last holder's end names it.
-    allAreNew_ = facts.named.epoch == 0 && facts.heard.size() >= facts.known;
+  if (!stored_) {
+    // Any daemon that has been running since before the last holder ended reports that holder.
+    previousFleetEnded_ = facts.named.epoch == 0 && facts.heard.size() >= facts.known;
     return DutySteps::Read{};
   }
-  if (!mayTake(facts, now)) {
-    if (now - readAt_ < kReadEvery) return DutySteps::Nothing{};
+  if (!mayTakeOver(facts, now)) {
+    if (now - readAt_ < kReadInterval) return DutySteps::Nothing{};
     return DutySteps::Read{};
   }
-  pending_ = taken(known_->record);
-  return DutySteps::Write{*pending_, known_->revision};
+  pendingRecord_ = recordAfterTakeover(stored_->record);
+  return DutySteps::Write{*pendingRecord_, stored_->revision};
 }
 
-std::int64_t DutyKeeper::firstWindow(const DutyFacts& facts) const {
-  const std::int64_t oldest = (facts.wallClock - policy_.due - policy_.window) / policy_.window;
-  const DutyRecord& record = known_->record;
+std::int64_t DutyKeeper::firstUnreportedWindow(const DutyFacts& facts) const {
+  const std::int64_t oldest =
+      (facts.wallClock - policy_.reportDeadline - policy_.window) / policy_.window;
+  const DutyRecord& record = stored_->record;
   std::int64_t first = std::max(oldest, record.sentThrough + 1);
   if (record.sentThrough > 0) return first;
-  // Nothing was reported yet: windows before the deployment's first requests are left out.
-  const UsageByWindow counted = this->counted(facts);
-  const UsageByWindow& earliest = record.fixed.empty() ? counted : record.fixed;
+  // Nothing was reported yet: skip the windows before the deployment's first requests.
+  const UsageByWindow usage = this->unfinalisedUsage(facts);
+  const UsageByWindow& earliest = record.fixed.empty() ? usage : record.fixed;
   return earliest.empty() ? first : std::max(first, earliest.begin()->first);
 }
 
-/// Counts of all windows that are not fixed, by the daemons' reports and by what the record held
-/// when this daemon took the duties.
-UsageByWindow DutyKeeper::counted(const DutyFacts& facts) const {
-  const DutyRecord& record = known_->record;
-  UsageByWindow counted = record.orphaned;
-  addUsage(counted, facts.usage);
-  raiseUsage(counted, inherited_);
-  std::erase_if(counted, [&](const auto& entry) {
+/// Counts of all windows that are not finalised, from the daemons' reports and from the record as
+/// it was when this daemon took over the duties.
+UsageByWindow DutyKeeper::unfinalisedUsage(const DutyFacts& facts) const {
+  const DutyRecord& record = stored_->record;
+  UsageByWindow usage = record.orphaned;
+  addUsage(usage, facts.usage);
+  raiseUsage(usage, inheritedUsage_);
+  std::erase_if(usage, [&](const auto& entry) {
     return entry.first <= record.sentThrough || record.fixed.contains(entry.first);
   });
-  return counted;
+  return usage;
 }
 
-/// How long after its end a window's counts are taken. Counts without daemons that run and are not
-/// heard are certain to be wrong; that this daemon ends in the time left to them is not.
-Millis DutyKeeper::settleTime(const DutyFacts& facts) const {
+/// Delay from a window's end until its counts are finalised. If running daemons are unreachable,
+/// waits as long as the deadline allows: counts without theirs are certainly wrong, whereas this
+/// daemon only might stop in the meantime.
+Millis DutyKeeper::finalisationDelay(const DutyFacts& facts) const {
   const bool complete = facts.usageComplete && facts.heard.size() >= facts.known;
-  return complete ? kSettle : std::max(kSettle, policy_.due - kReportTime);
+  return complete ? kMinFinalisationDelay
+                  : std::max(kMinFinalisationDelay, policy_.reportDeadline - kReportReserve);
 }
 
-/// What a record holds of windows that it doesn't hold as fixed.
-UsageByWindow DutyKeeper::unfixed(const DutyFacts& facts, const DutyRecord& record) const {
-  UsageByWindow counted = this->counted(facts);
-  const std::int64_t first = firstWindow(facts);
-  std::erase_if(counted, [&](const auto& entry) {
+/// Checkpoint of the unreported windows that \p record doesn't hold as finalised.
+UsageByWindow DutyKeeper::openWindowUsage(const DutyFacts& facts, const DutyRecord& record) const {
+  UsageByWindow usage = this->unfinalisedUsage(facts);
+  const std::int64_t first = firstUnreportedWindow(facts);
+  std::erase_if(usage, [&](const auto& entry) {
     return record.fixed.contains(entry.first) || entry.first < first;
   });
-  return counted;
+  return usage;
 }
 
-/// Adds the counts of windows that ended long enough ago. \returns whether there were any.
-bool DutyKeeper::fixWindows(const DutyFacts& facts, DutyRecord& record) const {
-  const UsageByWindow counted = this->counted(facts);
-  if (record.sentThrough == 0 && counted.empty()) return false;
-  const std::int64_t last = (facts.wallClock - settleTime(facts)) / policy_.window - 1;
+/// Finalises the counts of windows that ended long enough ago. \returns whether there were any.
+bool DutyKeeper::finaliseWindows(const DutyFacts& facts, DutyRecord& record) const {
+  const UsageByWindow usage = this->unfinalisedUsage(facts);
+  if (record.sentThrough == 0 && usage.empty()) return false;
+  const std::int64_t last = (facts.wallClock - finalisationDelay(facts)) / policy_.window - 1;
   bool added = false;
-  for (std::int64_t window = firstWindow(facts); window <= last; ++window) {
+  for (std::int64_t window = firstUnreportedWindow(facts); window <= last; ++window) {
     if (record.fixed.contains(window)) continue;
-    const auto counts = counted.find(window);
-    record.fixed[window] = counts == counted.end() ? UsageCounts{} : counts->second;
+    const auto counts = usage.find(window);
+    record.fixed[window] = counts == usage.end() ? UsageCounts{} : counts->second;
     record.orphaned.erase(window);
     added = true;
   }
   record.fixed.erase(record.fixed.begin(),
-                     record.fixed.lower_bound(record.sentThrough - kFixedKept));
+                     record.fixed.lower_bound(record.sentThrough - kRetainedWindows));
   return added;
 }
 
 DutyStep DutyKeeper::nextAsHolder(const DutyFacts& facts, Instant now) {
-  const DutyRecord& record = known_->record;
-  const std::int64_t first = firstWindow(facts);
+  const DutyRecord& record = stored_->record;
+  const std::int64_t first = firstUnreportedWindow(facts);
   for (const auto& [window, counts] : record.fixed) {
     if (window < first) continue;
-    sending_ = window;
+    pendingReport_ = window;
     return DutySteps::SendUsage{record.holder.epoch, window, counts};
   }
-  DutyRecord more = record;
-  const bool fixes = fixWindows(facts, more);
-  if (!fixes && now - checkpointed_ < kCheckpointEvery) return DutySteps::Nothing{};
-  more.counted = unfixed(facts, more);
-  if (!fixes && more.counted == record.counted) return DutySteps::Nothing{};
-  // A holder that has just started may know of few.
-  const bool settled = now - taken_ >= policy_.lease;
-  more.daemons = settled ? facts.known : std::max(record.daemons, facts.known);
-  checkpointed_ = now;
-  pending_ = std::move(more);
-  return DutySteps::Write{*pending_, known_->revision};
+  DutyRecord updated = record;
+  const bool finalised = finaliseWindows(facts, updated);
+  if (!finalised && now - checkpointedAt_ < kCheckpointInterval) return DutySteps::Nothing{};
+  updated.counted = openWindowUsage(facts, updated);
+  if (!finalised && updated.counted == record.counted) return DutySteps::Nothing{};
+  // A holder that has just taken over may not have discovered all daemons yet.
+  const bool settled = now - acquiredAt_ >= policy_.lease;
+  updated.daemons = settled ? facts.known : std::max(record.daemons, facts.known);
+  checkpointedAt_ = now;
+  pendingRecord_ = std::move(updated);
+  return DutySteps::Write{*pendingRecord_, stored_->revision};
 }
 
 void DutyKeeper::noteRead(const StoredDutyRecord& stored, Instant now) {
-  absent_ = false;
-  unansweredSince_.reset();
+  recordAbsent_ = false;
+  unavailableSince_.reset();
   readAt_ = now;
-  const bool changed = !known_ || known_->revision != stored.revision;
-  known_ = stored;
-  if (changed) seenSince_ = now;
-  // A write whose answer was lost was done after all.
+  const bool changed = !stored_ || stored_->revision != stored.revision;
+  stored_ = stored;
+  if (changed) unchangedSince_ = now;
+  // A write whose response was lost may have been applied.
   const DutyHolder& holder = stored.record.holder;
   const bool isSelf = holder.daemon == self_.daemon && holder.incarnation == self_.incarnation;
-  holds_ = isSelf && !(resigned_ && resigned_->epoch == holder.epoch);
-  if (holds_) renewed_ = now;
+  holdsDuties_ = isSelf && !(resignedHolder_ && resignedHolder_->epoch == holder.epoch);
+  if (holdsDuties_) renewedAt_ = now;
 }
 
 void DutyKeeper::noteOutcome(DutyOutcome outcome, std::uint64_t revision, Instant now) {
-  const std::optional<DutyRecord> pending = std::exchange(pending_, std::nullopt);
-  const std::optional<std::int64_t> sending = std::exchange(sending_, std::nullopt);
+  const std::optional<DutyRecord> pending = std::exchange(pendingRecord_, std::nullopt);
+  const std::optional<std::int64_t> sending = std::exchange(pendingReport_, std::nullopt);
   const bool answered = outcome != DutyOutcome::unavailable && outcome != DutyOutcome::unknown;
-  // Reports go elsewhere and tell nothing of the store.
-  if (!sending && answered) unansweredSince_.reset();
-  if (!sending && !answered && !unansweredSince_) unansweredSince_ = now;
+  // Usage reports don't go to the store, so their outcome says nothing about its availability.
+  if (!sending && answered) unavailableSince_.reset();
+  if (!sending && !answered && !unavailableSince_) unavailableSince_ = now;
   switch (outcome) {
     case DutyOutcome::done:
       if (pending) {
-        known_ = StoredDutyRecord{*pending, revision};
-        seenSince_ = now;
-        renewed_ = now;
-        if (!holds_) taken_ = now;
-        holds_ = true;
-        absent_ = false;
-      } else if (sending && known_) {
-        known_->record.sentThrough = std::max(known_->record.sentThrough, *sending);
+        stored_ = StoredDutyRecord{*pending, revision};
+        unchangedSince_ = now;
+        renewedAt_ = now;
+        if (!holdsDuties_) acquiredAt_ = now;
+        holdsDuties_ = true;
+        recordAbsent_ = false;
+      } else if (sending && stored_) {
+        stored_->record.sentThrough = std::max(stored_->record.sentThrough, *sending);
       }
       return;
     case DutyOutcome::superseded:
       stepDown();
-      absent_ = false;
-      retryAt_ = now + kRetry;
+      recordAbsent_ = false;
+      retryAt_ = now + kRetryDelay;
       return;
     case DutyOutcome::absent:
-      absent_ = true;
+      recordAbsent_ = true;
       return;
     case DutyOutcome::unavailable:
-      retryAt_ = now + kRetry;
+      retryAt_ = now + kRetryDelay;
       return;
     case DutyOutcome::unknown:
-      retryAt_ = now + kRetry;
-      // The record may have changed under us: it is read before anything else is done.
+      retryAt_ = now + kRetryDelay;
+      // The write may have been applied: reread the record before any other step.
       if (pending) {
-        holds_ = false;
-        absent_ = false;
-        known_.reset();
+        holdsDuties_ = false;
+        recordAbsent_ = false;
+        stored_.reset();
       }
       return;
   }
--- a/Hallchute/src/Duty/DutyKeeper.h
+++ b/Hallchute/src/Duty/DutyKeeper.h
@@ -13,112 +13,118 @@
 
 namespace Hallchute {
 
-/// \brief Times of the duties, from the deployment's bounds. \ingroup Duty
+/// \brief Timing of the duties, from the deployment's bounds. \ingroup Duty
 struct DutyPolicy {
-  /// How long a silent holder counts as holding.
+  /// How long an unreachable holder keeps the duties.
   Millis lease{3'000};
   Millis window{5'000};
-  /// From a window's end to when its report is due.
-  Millis due{10'000};
+  /// Time from a window's end to the deadline of its report.
+  Millis reportDeadline{10'000};
 };
 
-/// \brief What a daemon knows of the others when it decides. \ingroup Duty
+/// \brief A daemon's view of the fleet, from which it decides its next step. \ingroup Duty
 struct DutyFacts {
-  /// Daemons heard of lately with their incarnations, this one included unless it is leaving.
+  /// Daemons with a recent report and their incarnations. Includes this one unless it is stopping.
   std::map<DaemonId, std::uint64_t> heard;
-  /// The holder with the highest epoch that any report names.
+  /// The holder with the highest epoch in any report.
   DutyHolder named;
-  /// How long ago the store last answered anybody that is heard.
+  /// Time since the store last answered any reachable daemon.
   Millis storeAge{0};
-  /// Daemons that are likely to run, heard or not, this one included.
+  /// Number of daemons that are expected to run, reachable or not, including this one.
   std::size_t known = 1;
-  /// Whether this daemon has had the time to meet the others. Before, it takes itself for the first
-  /// of all and knows nothing of what they counted.
+  /// Whether this daemon has had time to discover the others. Until then it would consider itself
+  /// the preferred candidate, without the counts of the others.
   bool met = true;
-  /// Whether all daemons that are likely to run have told what they counted and what they know of
-  /// those that ended.
+  /// Whether all expected daemons have reported their own counts and those that they hold for
+  /// stopped daemons.
   bool usageComplete = true;
   /// Usage of the whole fleet by window.
   UsageByWindow usage;
-  /// Time since the start of 1970; only the windows' numbers come from it.
+  /// Time since the Unix epoch, used only to number the windows.
   Millis wallClock{0};
 };
 
-/// \brief Decides who holds the duties and what the holder does next. No I/O, no clock.
+/// \brief Decides which daemon holds the duties and what the holder does next. No I/O, no clock.
 /// \ingroup Duty
 ///
-/// The first daemon by name of those heard takes the duties when their holder has restarted, gave
-/// them up or was never there, or when it is unheard and its record stayed as it is for more than a
-/// lease. Every take-over raises the epoch. The holder fixes a window's counts in the record before
-/// it sends them; a write that fails tells it that it holds nothing any more. Counts that are not
-/// complete are fixed as late as leaves time to report them. What is counted of windows under way
-/// goes into the record about once a second, for the case that all daemons end at once. A holder
-/// that the store turns away while it answers others resigns, and one that it answers takes over.
+/// The reachable daemon with the lowest name takes over when there is no holder, when the holder
+/// has restarted, released the duties or resigned, or when it is unreachable and the record has not
+/// changed for longer than a lease. Every takeover increments the epoch.
+///
+/// The holder finalises a window's counts in the record before it reports them; a write that is
+/// superseded tells it that it no longer holds the duties. Incomplete counts are finalised as late
+/// as the report's deadline allows. Counts of open windows are checkpointed in the record about
+/// once a second, in case all daemons stop at once. A holder that gets no answer from the store
+/// while the store answers others resigns, and a daemon that the store answers takes over.
 class DutyKeeper {
  public:
   DutyKeeper(DutyPolicy policy, DaemonId self, std::uint64_t incarnation);
 
   DutyStep next(const DutyFacts& facts, Instant now);
   void noteRead(const StoredDutyRecord& stored, Instant now);
-  /// \brief How the last step ended. \param revision of the record after a write that was done.
+  /// \brief Records the outcome of the last step.
+  /// \param revision the record's revision after a successful write.
   void noteOutcome(DutyOutcome outcome, std::uint64_t revision, Instant now);
-  /// \brief A call was refused as another daemon had used a higher epoch.
+  /// \brief Gives up the duties locally, after a release or a call that was rejected because
+  /// another daemon has used a higher epoch.
   void stepDown();
 
-  bool holds() const { return holds_; }
-  /// \brief Whether the record was written so lately that acting needs no renewal.
+  bool holds() const { return holdsDuties_; }
+  /// \brief Whether the record was written or confirmed within \p time, so that acting needs no
+  /// renewal.
   bool renewedWithin(Millis time, Instant now) const;
-  /// \brief The write that renews the holder's record, before it acts on something else.
+  /// \brief The write that renews the holder's lease before it acts on anything else.
   DutyStep renewal() const;
-  /// \brief The write by which the holder gives the duties up before it ends: a successor need not
-  /// wait for its lease.
+  /// \brief The write that releases the duties before the holder stops, so that a successor need
+  /// not wait for the lease to expire.
   DutyStep release(const DutyFacts& facts) const;
   DutyHolder holder() const;
-  /// \brief This daemon, as it would hold them.
+  /// \brief This daemon's identity as a holder, with epoch 0.
   const DutyHolder& self() const { return self_; }
 
  private:
-  bool mayTake(const DutyFacts& facts, Instant now) const;
-  bool isFirst(const DutyFacts& facts) const;
-  bool isNamed(const DutyFacts& facts) const;
-  bool isHeldElsewhere(const DutyFacts& facts) const;
-  bool resignsNow(const DutyFacts& facts, Instant now) const;
+  bool mayTakeOver(const DutyFacts& facts, Instant now) const;
+  bool isPreferredCandidate(const DutyFacts& facts) const;
+  bool isReportedHolder(const DutyFacts& facts) const;
+  bool isHeldByLiveDaemon(const DutyFacts& facts) const;
+  bool shouldResign(const DutyFacts& facts, Instant now) const;
   void resign(const DutyHolder& holder);
   DutyStep nextAsHolder(const DutyFacts& facts, Instant now);
-  DutyStep nextAsOther(const DutyFacts& facts, Instant now);
-  Millis settleTime(const DutyFacts& facts) const;
-  UsageByWindow counted(const DutyFacts& facts) const;
-  UsageByWindow unfixed(const DutyFacts& facts, const DutyRecord& record) const;
-  bool fixWindows(const DutyFacts& facts, DutyRecord& record) const;
-  std::int64_t firstWindow(const DutyFacts& facts) const;
-  DutyRecord taken(const DutyRecord& before);
+  DutyStep nextAsNonHolder(const DutyFacts& facts, Instant now);
+  Millis finalisationDelay(const DutyFacts& facts) const;
+  UsageByWindow unfinalisedUsage(const DutyFacts& facts) const;
+  UsageByWindow openWindowUsage(const DutyFacts& facts, const DutyRecord& record) const;
+  bool finaliseWindows(const DutyFacts& facts, DutyRecord& record) const;
+  std::int64_t firstUnreportedWindow(const DutyFacts& facts) const;
+  DutyRecord recordAfterTakeover(const DutyRecord& before);
 
   DutyPolicy policy_;
   DutyHolder self_;
-  std::optional<StoredDutyRecord> known_;
-  /// When the record was first seen at its present revision.
-  Instant seenSince_{};
-  Instant renewed_{};
-  /// When this daemon took the duties.
-  Instant taken_{};
-  /// When the record was read last.
+  std::optional<StoredDutyRecord> stored_;
+  /// When the record was first seen at its current revision.
+  Instant unchangedSince_{};
+  Instant renewedAt_{};
+  /// When this daemon took over the duties.
+  Instant acquiredAt_{};
+  /// When the record was last read.
   Instant readAt_{};
-  /// Since when the store has answered none of this daemon's calls.
-  std::optional<Instant> unansweredSince_;
-  /// What this daemon held when it resigned last.
-  std::optional<DutyHolder> resigned_;
-  /// What the last step would make of the record.
-  std::optional<DutyRecord> pending_;
-  std::optional<std::int64_t> sending_;
+  /// Start of the period in which the store has answered none of this daemon's calls.
+  std::optional<Instant> unavailableSince_;
+  /// The holder entry under which this daemon last resigned.
+  std::optional<DutyHolder> resignedHolder_;
+  /// The record that the last step writes, until its outcome is known.
+  std::optional<DutyRecord> pendingRecord_;
+  std::optional<std::int64_t> pendingReport_;
   Instant retryAt_{};
-  /// When the counts under way were last written.
-  Instant checkpointed_{};
-  /// What the holder before had written of windows under way.
-  UsageByWindow inherited_;
-  /// When the record was asked for, all daemons that were heard had started after its last holder.
-  bool allAreNew_ = false;
-  bool absent_ = false;
-  bool holds_ = false;
+  /// When the counts of open windows were last written.
+  Instant checkpointedAt_{};
+  /// Counts of open windows that the previous holder had written.
+  UsageByWindow inheritedUsage_;
+  /// Whether, when the record was requested, all expected daemons were reachable and had started
+  /// after its last holder ended.
+  bool previousFleetEnded_ = false;
+  bool recordAbsent_ = false;
+  bool holdsDuties_ = false;
 };
 
 }  // namespace Hallchute
--- a/Hallchute/src/Duty/DutyRecord.h
+++ b/Hallchute/src/Duty/DutyRecord.h
@@ -11,28 +11,30 @@
 
 namespace Hallchute {
 
-/// \brief The one object that says who holds the duties and what was fixed. \ingroup Duty
+/// \brief The stored object with the holder of the duties and the finalised counts. \ingroup Duty
 ///
-/// Written only under the revision that its writer read: one write renews and records.
+/// Written only if its revision is still the one that the writer read. Each write also renews the
+/// lease.
 struct DutyRecord {
-  /// Its epoch is the fencing token of every call.
+  /// Its epoch is the fencing token of the holder's calls.
   DutyHolder holder;
-  /// Counts of windows that may have been sent: nobody ever sends others for them.
+  /// Finalised counts by window. They may have been reported already, so no holder ever reports
+  /// different ones.
   UsageByWindow fixed;
-  /// The last window whose report was acknowledged, and all before it; 0 if none was.
+  /// The last window up to which reports were acknowledged; 0 if none was.
   std::int64_t sentThrough = 0;
-  /// Counts of windows that are not fixed yet, as the holder knew them when it wrote last: all that
-  /// is left of them if every daemon ends.
+  /// Checkpoint of the counts of windows that are not finalised yet: the only copy left if every
+  /// daemon stops.
   UsageByWindow counted{};
-  /// The part of `counted` that is known from the record alone, as all daemons that counted it have
-  /// ended.
+  /// The part of `openUsage` that is known from the record alone, since all daemons that counted it
+  /// have stopped.
   UsageByWindow orphaned{};
-  /// Daemons that its writer knew when it wrote counts last: those that start later learn from it
-  /// how many share the quotas. 0 if none did yet.
+  /// Number of daemons that the writer knew when it last wrote counts; 0 if none were written yet.
+  /// Daemons that start later read from it how many share the quotas.
   std::size_t daemons = 0;
 };
 
-/// \brief A record with the store's revision of it. \ingroup Duty
+/// \brief A record with its revision in the store. \ingroup Duty
 struct StoredDutyRecord {
   DutyRecord record;
   std::uint64_t revision = 0;
--- a/Hallchute/src/Duty/DutyStep.h
+++ b/Hallchute/src/Duty/DutyStep.h
@@ -11,22 +11,22 @@
 
 namespace Hallchute {
 
-/// \brief What a daemon does next about the duties; see DutyKeeper. \ingroup Duty
+/// \brief The next action that DutyStateMachine requests from its caller. \ingroup Duty
 namespace DutySteps {
 
 struct Nothing {};
 /// Read the record.
 struct Read {};
-/// Make the record: there is none.
+/// Create the record, as there is none.
 struct Create {
   DutyRecord record;
 };
-/// Replace the record under the revision that was read.
+/// Replace the record if it still has the revision that was read.
 struct Write {
   DutyRecord record;
   std::uint64_t revision = 0;
 };
-/// Report a window whose counts are fixed.
+/// Report a window whose counts are finalised.
 struct SendUsage {
   std::uint64_t epoch = 0;
   std::int64_t window = 0;
@@ -39,16 +39,16 @@
 using DutyStep = std::variant<DutySteps::Nothing, DutySteps::Read, DutySteps::Create,
                               DutySteps::Write, DutySteps::SendUsage>;
 
-/// \brief How a step's call ended. \ingroup Duty
+/// \brief The outcome of a step's call. \ingroup Duty
 enum class DutyOutcome {
   done,
-  /// Another revision, or another holder's epoch, was there first.
+  /// Rejected: the record has another revision, or a higher epoch was used.
   superseded,
-  /// There is no such object.
+  /// The object doesn't exist.
   absent,
-  /// Nothing was done.
+  /// The call was certainly not applied.
   unavailable,
-  /// It may have been done, or may be done later.
+  /// The call may have been applied, or may still be.
   unknown,
 };
 
