--- a/Hallchute/src/Duty/DutyKeeper.cpp
+++ b/Hallchute/src/Duty/DutyKeeper.cpp
@@ -163,8 +163,8 @@
   std::int64_t first = std::max(oldest, record.sentThrough + 1);
   if (record.sentThrough > 0) return first;
   // Nothing was reported yet: skip the windows before the deployment's first requests.
-  const UsageByWindow usage = this->unfinalisedUsage(facts);
-  const UsageByWindow& earliest = record.fixed.empty() ? usage : record.fixed;
+  const UsageByWindow unfinalised = this->unfinalisedUsage(facts);
+  const UsageByWindow& earliest = record.fixed.empty() ? unfinalised : record.fixed;
   return earliest.empty() ? first : std::max(first, earliest.begin()->first);
 }
 
@@ -172,13 +172,13 @@
 /// it was when this daemon took over the duties.
 UsageByWindow DutyKeeper::unfinalisedUsage(const DutyFacts& facts) const {
   const DutyRecord& record = stored_->record;
-  UsageByWindow usage = record.orphaned;
-  addUsage(usage, facts.usage);
-  raiseUsage(usage, inheritedUsage_);
-  std::erase_if(usage, [&](const auto& entry) {
+  UsageByWindow unfinalised = record.orphaned;
+  addUsage(unfinalised, facts.usage);
+  raiseUsage(unfinalised, inheritedUsage_);
+  std::erase_if(unfinalised, [&](const auto& entry) {
     return entry.first <= record.sentThrough || record.fixed.contains(entry.first);
   });
-  return usage;
+  return unfinalised;
 }
 
 /// Delay from a window's end until its counts are finalised. If running daemons are unreachable,
@@ -192,24 +192,24 @@
 
 /// Checkpoint of the unreported windows that \p record doesn't hold as finalised.
 UsageByWindow DutyKeeper::openWindowUsage(const DutyFacts& facts, const DutyRecord& record) const {
-  UsageByWindow usage = this->unfinalisedUsage(facts);
+  UsageByWindow unfinalised = this->unfinalisedUsage(facts);
   const std::int64_t first = firstUnreportedWindow(facts);
-  std::erase_if(usage, [&](const auto& entry) {
+  std::erase_if(unfinalised, [&](const auto& entry) {
     return record.fixed.contains(entry.first) || entry.first < first;
   });
-  return usage;
+  return unfinalised;
 }
 
 /// Finalises the counts of windows that ended long enough ago. \returns whether there were any.
 bool DutyKeeper::finaliseWindows(const DutyFacts& facts, DutyRecord& record) const {
-  const UsageByWindow usage = this->unfinalisedUsage(facts);
-  if (record.sentThrough == 0 && usage.empty()) return false;
+  const UsageByWindow unfinalised = this->unfinalisedUsage(facts);
+  if (record.sentThrough == 0 && unfinalised.empty()) return false;
   const std::int64_t last = (facts.wallClock - finalisationDelay(facts)) / policy_.window - 1;
   bool added = false;
   for (std::int64_t window = firstUnreportedWindow(facts); window <= last; ++window) {
     if (record.fixed.contains(window)) continue;
-    const auto counts = usage.find(window);
-    record.fixed[window] = counts == usage.end() ? UsageCounts{} : counts->second;
+    const auto counts = unfinalised.find(window);
+    record.fixed[window] = counts == unfinalised.end() ? UsageCounts{} : counts->second;
     record.orphaned.erase(window);
     added = true;
   }
