--- a/Hallchute/src/Admission/ShardOwner.cpp
+++ b/Hallchute/src/Admission/ShardOwner.cpp
@@ -198,11 +198,11 @@
                           upstream.prefixes.cachedTokens(wanted.prefixHashes)});
     candidates.back().computeCost =
         costs[candidates.back().cachedTokens / PrefixBlocks::kTokensPerBlock];
-    if (const auto oldest = upstream.prefixes.oldestStamp()) {
+    if (const auto oldest = upstream.prefixes.nextEvictionStamp()) {
       candidates.back().evictionAge = prefixClock_ - *oldest;
     }
   }
-  ChoiceRequest request{wanted.affinity, wanted.promptTokens, 0};
+  RoutingRequest request{wanted.affinity, wanted.promptTokens, 0};
   if (usableCount > 0) {
     request.meanInFlight = static_cast<double>(usableInFlight) / static_cast<double>(usableCount);
   }
@@ -223,7 +223,7 @@
   for (std::size_t i = blocks; i-- > 0;) {
     std::uint64_t uses = 0;
     for (const OwnedUpstream& upstream : upstreams_) {
-      uses += upstream.prefixes.usesOf(wanted.prefixHashes[i]);
+      uses += upstream.prefixes.useCount(wanted.prefixHashes[i]);
     }
     const double weight = 1 / (1 + static_cast<double>(uses) / count);
     costs[i] = costs[i + 1] + weight * static_cast<double>(kBlock);
@@ -239,7 +239,7 @@
   upstream.pendingTokens += cost;
   const std::size_t prefill = wanted.promptTokens - std::min(wanted.promptTokens, cached);
   upstream.prefillTokens += prefill;
-  upstream.prefixes.use(wanted.prefixHashes, ++prefixClock_);
+  upstream.prefixes.recordUse(wanted.prefixHashes, ++prefixClock_);
   ++inFlightOf_[wanted.organisation];
   fairShare_.charge(wanted.organisation, static_cast<double>(cost + 1), wanted.weight);
   lastGrant_[{wanted.organisation, wanted.priority}] = now;
--- a/Hallchute/src/Daemon/AnswerRunner.cpp
+++ b/Hallchute/src/Daemon/AnswerRunner.cpp
@@ -50,7 +50,7 @@
   const double ratio =
       static_cast<double>(policyNumber(context_, job_->spec(), PolicyKey::retryBudgetPercent)) /
       kPercent;
-  context_.budgets.noteFirstAttempt(job_->spec().service, ratio);
+  context_.budgets.recordFirstAttempt(job_->spec().service, ratio);
   resumption_ = job_->tokenCount() > 0;
   while (step() == Next::again) {
   }
@@ -152,14 +152,14 @@
                    context_.noteLeave({hold.upstream(), word.leavesIn, LeaveSource::upstream});
                  },
                  [&](const AnswerChunk& chunk) {
-                   const ChunkVerdict verdict = job_->take(chunk);
-                   finished_ = verdict == ChunkVerdict::finished;
-                   gap_ = verdict == ChunkVerdict::gap;
-                   if (verdict == ChunkVerdict::taken) {
+                   const ChunkResult verdict = job_->accept(chunk);
+                   finished_ = verdict == ChunkResult::finished;
+                   gap_ = verdict == ChunkResult::gap;
+                   if (verdict == ChunkResult::appended) {
                      if (lastToken_ == Instant{}) hold.noteFirstToken();
                      noteToken();
                    }
-                   if (verdict == ChunkVerdict::otherEpoch || verdict == ChunkVerdict::duplicate) {
+                   if (verdict == ChunkResult::otherEpoch || verdict == ChunkResult::duplicate) {
                      context_.metrics.add("hallchute_chunks_dropped_total", labels());
                    }
                  }},
@@ -231,11 +231,11 @@
   ++failures_;
   if (accepted()) {
     // It is accepted: the budget does not end it, it only slows it down.
-    if (!context_.budgets.takeRetry(job_->spec().service)) job_->pauseFor(kMostPause);
+    if (!context_.budgets.tryConsumeRetry(job_->spec().service)) job_->pauseFor(kMostPause);
     return Next::again;
   }
   const bool mayRetry = failures_ < policyNumber(context_, job_->spec(), PolicyKey::maxAttempts) &&
-                        context_.budgets.takeRetry(job_->spec().service);
+                        context_.budgets.tryConsumeRetry(job_->spec().service);
   if (mayRetry) return Next::again;
   Refusal refusal = lastRefusal(RefusalReason::upstreamFailed, result.detail);
   refusal.retryAfter = kMostPause;
--- a/Hallchute/src/Daemon/Control.cpp
+++ b/Hallchute/src/Daemon/Control.cpp
@@ -27,8 +27,8 @@
 constexpr Millis kFetchLimit{1'000};
 constexpr std::size_t kChangesPerReply = 64;
 
-MemberNews selfNews(const StartupFile& startup) {
-  MemberNews self;
+MemberStatus selfNews(const StartupFile& startup) {
+  MemberStatus self;
   self.id = startup.daemon;
   self.domain = startup.domain;
   self.address = startup.peerAdvertise;
@@ -86,46 +86,46 @@
                           broker_.onOwnersChanged();
                           if (membersChanged_) membersChanged_();
                         },
-                        [&](const WokeOutdated& woke) {
+                        [&](const LongPauseDetected& woke) {
                           metrics_.add("hallchute_pauses_total", "");
                           logLine(LogLevel::warning, "was paused for " +
                                                          std::to_string(woke.gap.count()) +
                                                          " ms; joins again");
                         },
-                        [&](const LeaveHeard& heard) { onLeaveHeard(heard.news); },
+                        [&](const LeaveDiscovered& heard) { onLeaveHeard(heard.announcement); },
                         [&](const NewerSettings& newer) { fetchSettings(newer.address); },
                         [&](const NewerHosts& newer) { fetchHosts(newer.address); }},
              action);
 }
 
-void Control::noteLeave(const LeaveNews& news) {
-  loop_.post([this, news] { spreadLeave(news); });
+void Control::noteLeave(const LeaveAnnouncement& announcement) {
+  loop_.post([this, announcement] { spreadLeave(announcement); });
 }
 
-bool Control::noteLeaveAndSpread(const LeaveNews& news, Millis limit) {
-  noteLeave(news);
+bool Control::noteLeaveAndSpread(const LeaveAnnouncement& announcement, Millis limit) {
+  noteLeave(announcement);
   const Instant until = clockNow() + limit;
   for (;;) {
     bool spread = false;
-    loop_.call([&] { spread = gossip_.wasSpread(news.upstream); });
+    loop_.call([&] { spread = gossip_.wasSpread(announcement.upstream); });
     if (spread || clockNow() >= until) return spread;
     std::this_thread::sleep_for(kSpreadPoll);
   }
 }
 
-void Control::spreadLeave(const LeaveNews& news) {
-  gossip_.perform(membership_.announceLeave(news, clockNow()));
+void Control::spreadLeave(const LeaveAnnouncement& announcement) {
+  gossip_.perform(membership_.announceLeave(announcement, clockNow()));
 }
 
-void Control::onLeaveHeard(const LeaveNews& news) {
-  if (news.upstream.str() == membership_.self().id.str()) {
-    if (ownNotice_) ownNotice_(news.remaining);
+void Control::onLeaveHeard(const LeaveAnnouncement& announcement) {
+  if (announcement.upstream.str() == membership_.self().id.str()) {
+    if (ownNotice_) ownNotice_(announcement.remaining);
     return;
   }
-  logLine(LogLevel::info, "upstream " + news.upstream.str() + " leaves in " +
-                              std::to_string(news.remaining.count()) + " ms");
+  logLine(LogLevel::info, "upstream " + announcement.upstream.str() + " leaves in " +
+                              std::to_string(announcement.remaining.count()) + " ms");
   metrics_.add("hallchute_leaves_total", "");
-  directory_.noteLeave(news.upstream, news.remaining, clockNow());
+  directory_.noteLeave(announcement.upstream, announcement.remaining, clockNow());
   owners_.refresh(clockNow());
   directMigrations();
 }
@@ -194,8 +194,9 @@
     const bool known = membership_.find(DaemonId(host.host.str())) != nullptr;
     if (host.role == HostRole::entry && !known) membership_.addSeed(host.address);
   }
-  for (const LeaveNews& news : directory_.applyList(hosts.version, hosts.hosts, clockNow())) {
-    spreadLeave(news);
+  for (const LeaveAnnouncement& announcement :
+       directory_.applyHostList(hosts.version, hosts.hosts, clockNow())) {
+    spreadLeave(announcement);
   }
   owners_.refresh(clockNow());
 }
@@ -220,16 +221,16 @@
   return view;
 }
 
-bool Control::mayLive(const DaemonId& id) {
+bool Control::mayBeAlive(const DaemonId& id) {
   bool lives = true;
-  loop_.call([&] { lives = membership_.mayLive(id); });
+  loop_.call([&] { lives = membership_.mayBeAlive(id); });
   return lives;
 }
 
 bool Control::hasDuty(std::string_view duty, std::size_t first) {
   bool has = false;
   loop_.call([&] {
-    const MemberNews& self = membership_.self();
+    const MemberStatus& self = membership_.self();
     const std::string key = std::string(duty) + "/" + self.domain.str();
     const std::vector<DaemonId> ranked = rankOwners(key, membership_.owners(self.domain));
     const auto end = ranked.begin() + static_cast<std::ptrdiff_t>(std::min(first, ranked.size()));
--- a/Hallchute/src/Daemon/Control.h
+++ b/Hallchute/src/Daemon/Control.h
@@ -34,7 +34,7 @@
 struct ControlView {
   std::uint64_t revision = 0;
   std::uint64_t hostsVersion = 0;
-  MemberNews self;
+  MemberStatus self;
   std::vector<Member> others;
   std::vector<UpstreamInfo> upstreams;
   std::vector<ShardOwners::Load> shards;
@@ -58,17 +58,17 @@
   void stop();
 
   GrantOutcome acquire(const GrantSpec& spec) { return broker_.acquire(spec); }
-  void noteLeave(const LeaveNews& news);
+  void noteLeave(const LeaveAnnouncement& announcement);
   /// \brief As noteLeave(), and waits until a peer has it too, at most \p limit.
   /// \returns whether one has.
-  bool noteLeaveAndSpread(const LeaveNews& news, Millis limit);
+  bool noteLeaveAndSpread(const LeaveAnnouncement& announcement, Millis limit);
   void learnChange(const SettingsChange& change);
   void learnSnapshot(std::uint64_t revision, const JsonObject& json);
   void learnHosts(const HostList& hosts);
   /// \brief This daemon stops: it owns nothing any more and says so.
   void beginLeaving();
   ControlView view();
-  bool mayLive(const DaemonId& id);
+  bool mayBeAlive(const DaemonId& id);
   /// \brief Whether this daemon is one of the \p first ranked of its domain for \p duty.
   bool hasDuty(std::string_view duty, std::size_t first);
   std::uint64_t revision();
@@ -85,8 +85,8 @@
 
  private:
   void onAction(const MembershipAction& action);
-  void onLeaveHeard(const LeaveNews& news);
-  void spreadLeave(const LeaveNews& news);
+  void onLeaveHeard(const LeaveAnnouncement& announcement);
+  void spreadLeave(const LeaveAnnouncement& announcement);
   void fetchSettings(const std::string& address);
   void takeSettings(const SettingsReplyMessage& reply);
   void fetchHosts(const std::string& address);
--- a/Hallchute/src/Daemon/Gossip.cpp
+++ b/Hallchute/src/Daemon/Gossip.cpp
@@ -39,15 +39,15 @@
 }
 
 void Gossip::sendProbe(const SendProbe& probe) {
-  const NewsBatch sent = membership_.compose(clockNow());
+  const GossipMessage sent = membership_.compose(clockNow());
   const PeerStreamPtr stream = transport_.open(probe.address, PeerPath::kProbe, pack(sent));
   const std::weak_ptr<PeerStream> weak = stream;
   stream->onMessage = [this, weak, leaves = sent.leaves](std::string_view bytes) {
     if (spread_.size() > kSpreadRemembered) spread_.clear();
-    for (const LeaveNews& leave : leaves) spread_.insert(leave.upstream);
+    for (const LeaveAnnouncement& leave : leaves) spread_.insert(leave.upstream);
     const PeerStreamPtr open = weak.lock();
     if (open) open->close();
-    if (const auto batch = unpack<NewsBatch>(bytes)) {
+    if (const auto batch = unpack<GossipMessage>(bytes)) {
       perform(membership_.receive(*batch, clockNow()));
     }
   };
@@ -62,7 +62,7 @@
   stream->onMessage = [this, weak](std::string_view bytes) {
     const PeerStreamPtr open = weak.lock();
     if (!open) return;
-    const auto batch = unpack<NewsBatch>(bytes);
+    const auto batch = unpack<GossipMessage>(bytes);
     if (!batch) {
       open->close();
       return;
--- a/Hallchute/src/Daemon/GrantBroker.cpp
+++ b/Hallchute/src/Daemon/GrantBroker.cpp
@@ -142,7 +142,7 @@
   if (owner == membership_.self().id) {
     askLocal(wish, shard);
   } else {
-    askPeer(wish, shard, membership_.find(owner)->news.address);
+    askPeer(wish, shard, membership_.find(owner)->status.address);
   }
 }
 
@@ -318,7 +318,7 @@
     owners_.hold(active->shard, held, clockNow());
     return;
   }
-  const std::string address = membership_.find(*owner)->news.address;
+  const std::string address = membership_.find(*owner)->status.address;
   active->stream =
       transport_.open(address, PeerPath::kHold, pack(HoldMessage{active->shard, active->held}));
   active->stream->onClosed = [this, active] {
--- a/Hallchute/src/Daemon/Job.cpp
+++ b/Hallchute/src/Daemon/Job.cpp
@@ -48,13 +48,13 @@
   return answer_.beginAttempt();
 }
 
-ChunkVerdict Job::take(const AnswerChunk& chunk) {
-  ChunkVerdict verdict;
+ChunkResult Job::accept(const AnswerChunk& chunk) {
+  ChunkResult verdict;
   {
     const std::lock_guard lock(mutex_);
-    verdict = answer_.take(chunk);
+    verdict = answer_.accept(chunk);
   }
-  if (verdict == ChunkVerdict::taken) notify();
+  if (verdict == ChunkResult::appended) notify();
   return verdict;
 }
 
--- a/Hallchute/src/Daemon/Job.h
+++ b/Hallchute/src/Daemon/Job.h
@@ -51,7 +51,7 @@
 
   // For the runner.
   std::uint64_t beginAttempt(const UpstreamId& upstream);
-  ChunkVerdict take(const AnswerChunk& chunk);
+  ChunkResult accept(const AnswerChunk& chunk);
   std::vector<std::string> tokens() const;
   std::size_t tokenCount() const;
   void finish();
--- a/Hallchute/src/Daemon/JobRecords.cpp
+++ b/Hallchute/src/Daemon/JobRecords.cpp
@@ -156,7 +156,7 @@
 
 bool JobRecords::holderIsGone(const HandOverRecord& record, Instant now) {
   if (record.holder == context_.daemon) return false;
-  if (context_.mayLive(record.holder)) {
+  if (context_.mayBeAlive(record.holder)) {
     goneSince_.erase(record.holder);
     return false;
   }
--- a/Hallchute/src/Daemon/OnceKeeper.cpp
+++ b/Hallchute/src/Daemon/OnceKeeper.cpp
@@ -38,7 +38,7 @@
                                  RecordFound found;
                                  found.record = parseOnce(done.value.value, findings);
                                  found.version = done.value.version;
-                                 found.holderMayLive = context_.mayLive(found.record.holder);
+                                 found.holderMayBeAlive = context_.mayBeAlive(found.record.holder);
                                  if (!findings.empty()) found.record.state = OnceState::unknown;
                                  return found;
                                },
--- a/Hallchute/src/Daemon/OperatorHandler.cpp
+++ b/Hallchute/src/Daemon/OperatorHandler.cpp
@@ -211,8 +211,8 @@
 OperatorHandler::Reply OperatorHandler::leave(const std::string& upstream, const Poco::URI& uri) {
   const Millis left(
       std::strtoll(query(uri, "inMs", std::to_string(kDefaultLeaveMs)).c_str(), nullptr, 10));
-  const LeaveNews news{UpstreamId(upstream), left, LeaveSource::operatorOrder};
-  const bool spread = services_.control.noteLeaveAndSpread(news, kSpreadLimit);
+  const LeaveAnnouncement announcement{UpstreamId(upstream), left, LeaveSource::operatorRequest};
+  const bool spread = services_.control.noteLeaveAndSpread(announcement, kSpreadLimit);
   return {202, "application/json",
           messageJson(upstream + " is leaving" +
                       (spread ? "" : "; no other daemon has acknowledged it yet"))};
--- a/Hallchute/src/Daemon/PeerJobs.cpp
+++ b/Hallchute/src/Daemon/PeerJobs.cpp
@@ -69,18 +69,18 @@
 std::vector<PeerJobs::Peer> PeerJobs::peersFor(const RequestId& request) {
   std::vector<Member> others;
   control_.loop().call([&] { others = control_.membership().others(); });
-  std::erase_if(others, [](const Member& m) { return m.news.state != MemberState::alive; });
+  std::erase_if(others, [](const Member& m) { return m.status.state != MemberState::alive; });
   std::vector<DaemonId> ids;
   ids.reserve(others.size());
-  for (const Member& member : others) ids.push_back(member.news.id);
+  for (const Member& member : others) ids.push_back(member.status.id);
   const std::vector<DaemonId> ranked = rankOwners(request.str(), ids);
   std::vector<Peer> peers;
   for (const bool home : {true, false}) {
     for (const DaemonId& id : ranked) {
       const auto it = std::find_if(others.begin(), others.end(),
-                                   [&](const Member& m) { return m.news.id == id; });
-      if ((it->news.domain == context_.domain) != home) continue;
-      peers.push_back({id, it->news.address});
+                                   [&](const Member& m) { return m.status.id == id; });
+      if ((it->status.domain == context_.domain) != home) continue;
+      peers.push_back({id, it->status.address});
     }
   }
   if (peers.size() > kMaxAsked) peers.resize(kMaxAsked);
--- a/Hallchute/src/Daemon/PlainRunner.cpp
+++ b/Hallchute/src/Daemon/PlainRunner.cpp
@@ -68,10 +68,10 @@
   const auto percent =
       static_cast<double>(settings->tree.policy(PolicyKey::retryBudgetPercent, scope));
   const auto maxAttempts = settings->tree.policy(PolicyKey::maxAttempts, scope);
-  context_.budgets.noteFirstAttempt(job_.service, percent / kPercent);
+  context_.budgets.recordFirstAttempt(job_.service, percent / kPercent);
   Refusal last{RefusalReason::upstreamFailed, "", RunOutcome::notRun, kRetryAfter};
   for (int attempt = 0; attempt < maxAttempts && timeLeft() > Millis(0); ++attempt) {
-    if (attempt > 0 && !context_.budgets.takeRetry(job_.service)) break;
+    if (attempt > 0 && !context_.budgets.tryConsumeRetry(job_.service)) break;
     GrantOutcome grant = acquire();
     if (auto* refusal = std::get_if<Refusal>(&grant)) {
       if (last.outcome != RunOutcome::notRun) refusal->outcome = last.outcome;
@@ -120,7 +120,7 @@
       event = keeper_.write(key, write->record, write->ifVersion);
     } else if (std::holds_alternative<ReadRecord>(step)) {
       event = keeper_.read(key);
-    } else if (std::holds_alternative<DispatchOnce>(step)) {
+    } else if (std::holds_alternative<DispatchRequest>(step)) {
       event = dispatchOnce(std::move(hold));
     } else if (const auto* answer = std::get_if<AnswerWithRecord>(&step)) {
       if (answer->storeLater) keeper_.storeLater(key, answer->record);
@@ -128,7 +128,7 @@
       return PlainAnswer{answer->record.status, answer->record.contentType, answer->record.body,
                          false};
     } else {
-      const auto& refuse = std::get<RefuseOnce>(step);
+      const auto& refuse = std::get<RefuseRequest>(step);
       if (refuse.abandonLater) {
         OnceRecord abandoned = attempt.record();
         abandoned.state = OnceState::abandoned;
@@ -162,7 +162,7 @@
     } else {
       noteLeaving(hold->upstream());
     }
-    if (!context_.budgets.takeRetry(job_.service)) return DispatchNeverSent{detail};
+    if (!context_.budgets.tryConsumeRetry(job_.service)) return DispatchNeverSent{detail};
     GrantOutcome next = acquire();
     if (std::holds_alternative<Refusal>(next)) return DispatchNeverSent{detail};
     hold = std::move(std::get<std::unique_ptr<GrantHold>>(next));
--- a/Hallchute/src/Daemon/RetryBudgets.h
+++ b/Hallchute/src/Daemon/RetryBudgets.h
@@ -16,15 +16,15 @@
 /// \ingroup Daemon
 class RetryBudgets {
  public:
-  void noteFirstAttempt(const ServiceName& service, double ratio) {
+  void recordFirstAttempt(const ServiceName& service, double ratio) {
     const std::lock_guard lock(mutex_);
     RetryBudget& budget = budgets_.try_emplace(service, ratio).first->second;
     budget.setRatio(ratio);
-    budget.noteFirstAttempt();
+    budget.recordFirstAttempt();
   }
-  bool takeRetry(const ServiceName& service) {
+  bool tryConsumeRetry(const ServiceName& service) {
     const std::lock_guard lock(mutex_);
-    return budgets_.try_emplace(service, 0.0).first->second.takeRetry();
+    return budgets_.try_emplace(service, 0.0).first->second.tryConsumeRetry();
   }
 
  private:
--- a/Hallchute/src/Daemon/StatusJson.cpp
+++ b/Hallchute/src/Daemon/StatusJson.cpp
@@ -27,14 +27,14 @@
 constexpr double kBytesPerKilobyte = 1024;
 constexpr double kMicrosPerSecond = 1e6;
 
-JsonObject memberJson(const MemberNews& news) {
+JsonObject memberJson(const MemberStatus& status) {
   JsonObject json = new Poco::JSON::Object;
-  json->set("daemon", news.id.str());
-  json->set("failureDomain", news.domain.str());
-  json->set("address", news.address);
-  json->set("state", std::string(kMemberWords.at(static_cast<std::size_t>(news.state))));
-  json->set("incarnation", news.incarnation);
-  json->set("revision", news.revision);
+  json->set("daemon", status.id.str());
+  json->set("failureDomain", status.domain.str());
+  json->set("address", status.address);
+  json->set("state", std::string(kMemberWords.at(static_cast<std::size_t>(status.state))));
+  json->set("incarnation", status.incarnation);
+  json->set("revision", status.revision);
   return json;
 }
 
@@ -79,7 +79,7 @@
   json->set("hostListVersion", view.hostsVersion);
   json->set("platform", std::string(freshnessWord(services.health.freshness(now))));
   json->set("grantsHeld", view.grantsHeld);
-  json->set("members", arrayOf(view.others, [](const Member& m) { return memberJson(m.news); }));
+  json->set("members", arrayOf(view.others, [](const Member& m) { return memberJson(m.status); }));
   json->set("upstreams",
             arrayOf(view.upstreams, [&](const UpstreamInfo& u) { return upstreamJson(u, now); }));
   json->set("shards", arrayOf(view.shards, shardJson));
--- a/Hallchute/src/Daemon/TrafficContext.h
+++ b/Hallchute/src/Daemon/TrafficContext.h
@@ -10,7 +10,7 @@
 #include "Hallchute/src/Core/Id.h"
 #include "Hallchute/src/Core/Time.h"
 #include "Hallchute/src/Daemon/GrantSpec.h"
-#include "Hallchute/src/Membership/NewsBatch.h"
+#include "Hallchute/src/Membership/GossipMessage.h"
 
 namespace Hallchute {
 
@@ -36,9 +36,9 @@
   /// Gets a place at an upstream; blocks.
   std::function<GrantOutcome(const GrantSpec&)> acquire;
   /// Tells control that an upstream said it leaves.
-  std::function<void(const LeaveNews&)> noteLeave;
+  std::function<void(const LeaveAnnouncement&)> noteLeave;
   /// Whether a daemon may still live, as far as is known here.
-  std::function<bool(const DaemonId&)> mayLive;
+  std::function<bool(const DaemonId&)> mayBeAlive;
 };
 
 }  // namespace Hallchute
--- a/Hallchute/src/Duty/DutyKeeper.cpp
+++ b/Hallchute/src/Duty/DutyKeeper.cpp
@@ -41,7 +41,7 @@
 
 DutyHolder DutyKeeper::holder() const {
   DutyHolder holder = stored_ ? stored_->record.holder : DutyHolder{};
-  if (resignedHolder_) holder.learn(*resignedHolder_);
+  if (resignedHolder_) holder.mergeNewer(*resignedHolder_);
   return holder;
 }
 
--- a/Hallchute/src/Ledger/OnceAttempt.cpp
+++ b/Hallchute/src/Ledger/OnceAttempt.cpp
@@ -12,7 +12,7 @@
 constexpr Millis kPlatformRetryAfter{1'000};
 constexpr Millis kInProgressRetryAfter{500};
 
-RefuseOnce platformOut(bool abandonLater) {
+RefuseRequest platformOut(bool abandonLater) {
   return {{RefusalReason::platformOut,
            "the record that keeps this work from repeating can't be written", RunOutcome::notRun,
            kPlatformRetryAfter},
@@ -54,7 +54,7 @@
   version_ = event.version;
   if (stage_ == Stage::storing) return conclude(true);
   stage_ = Stage::dispatching;
-  return DispatchOnce{};
+  return DispatchRequest{};
 }
 
 OnceStep OnceAttempt::onConflict() {
@@ -96,38 +96,39 @@
   if (!mine) return judgeOther(event);
   version_ = event.version;
   stage_ = Stage::dispatching;
-  return DispatchOnce{};
+  return DispatchRequest{};
 }
 
 OnceStep OnceAttempt::judgeOther(const RecordFound& event) {
   const OnceRecord& other = event.record;
   if (other.digest != record_.digest) {
-    return RefuseOnce{{RefusalReason::keyReused, "the Idempotency-Key was used for another request",
-                       RunOutcome::notRun, std::nullopt},
-                      false};
+    return RefuseRequest{
+        {RefusalReason::keyReused, "the Idempotency-Key was used for another request",
+         RunOutcome::notRun, std::nullopt},
+        false};
   }
   switch (other.state) {
     case OnceState::done:
       return AnswerWithRecord{other, false};
     case OnceState::unknown:
-      return RefuseOnce{unknownOutcome("an earlier attempt may have run: " + other.body), false};
+      return RefuseRequest{unknownOutcome("an earlier attempt may have run: " + other.body), false};
     case OnceState::abandoned:
       if (++tries_ >= kMaxTries) return platformOut(false);
       return WriteRecord{record_, event.version};
     case OnceState::started:
       break;
   }
-  if (!event.holderMayLive) {
-    return RefuseOnce{unknownOutcome("an earlier attempt may have run and its daemon is gone"),
-                      false};
+  if (!event.holderMayBeAlive) {
+    return RefuseRequest{unknownOutcome("an earlier attempt may have run and its daemon is gone"),
+                         false};
   }
-  return RefuseOnce{{RefusalReason::inProgress, "an earlier attempt is in progress",
-                     RunOutcome::unknown, kInProgressRetryAfter},
-                    false};
+  return RefuseRequest{{RefusalReason::inProgress, "an earlier attempt is in progress",
+                        RunOutcome::unknown, kInProgressRetryAfter},
+                       false};
 }
 
 OnceStep OnceAttempt::onNeverSent(const DispatchNeverSent& event) {
-  return RefuseOnce{
+  return RefuseRequest{
       {RefusalReason::upstreamFailed, event.detail, RunOutcome::notRun, kInProgressRetryAfter},
       true};
 }
--- a/Hallchute/src/Ledger/OnceEvent.h
+++ b/Hallchute/src/Ledger/OnceEvent.h
@@ -28,7 +28,7 @@
   OnceRecord record;
   std::uint64_t version = 0;
   /// Whether the record's holder may still live, as far as this daemon knows.
-  bool holderMayLive = true;
+  bool holderMayBeAlive = true;
 };
 struct RecordAbsent {};
 struct RecordReadFailed {};
--- a/Hallchute/src/Ledger/OnceStep.h
+++ b/Hallchute/src/Ledger/OnceStep.h
@@ -20,7 +20,7 @@
 };
 struct ReadRecord {};
 /// \brief Send the request to the upstream, once.
-struct DispatchOnce {};
+struct DispatchRequest {};
 /// \brief Answer with what the record holds, and stop.
 struct AnswerWithRecord {
   OnceRecord record;
@@ -28,14 +28,15 @@
   bool storeLater = false;
 };
 /// \brief Refuse, and stop.
-struct RefuseOnce {
+struct RefuseRequest {
   Refusal refusal;
   /// The record may stand as started although nothing ran: mark it abandoned in the background.
   bool abandonLater = false;
 };
 
 /// \brief What the owner of an OnceAttempt does next. \ingroup Ledger
-using OnceStep = std::variant<WriteRecord, ReadRecord, DispatchOnce, AnswerWithRecord, RefuseOnce>;
+using OnceStep =
+    std::variant<WriteRecord, ReadRecord, DispatchRequest, AnswerWithRecord, RefuseRequest>;
 
 }  // namespace Hallchute
 
--- a/Hallchute/src/Membership/NewsBatch.h
+++ b/Hallchute/src/Membership/GossipMessage.h
@@ -1,8 +1,8 @@
 // This file is part of hallchute, a serving system for language models.
 // SPDX-License-Identifier: Apache-2.0
 
-#ifndef HALLCHUTE_MEMBERSHIP_NEWSBATCH_H
-#define HALLCHUTE_MEMBERSHIP_NEWSBATCH_H
+#ifndef HALLCHUTE_MEMBERSHIP_GOSSIPMESSAGE_H
+#define HALLCHUTE_MEMBERSHIP_GOSSIPMESSAGE_H
 
 #include <cstdint>
 #include <string>
@@ -16,11 +16,11 @@
 
 /// \brief Who first told that an upstream leaves.
 /// \ingroup Membership
-enum class LeaveSource : std::uint8_t { notice, hostList, upstream, operatorOrder };
+enum class LeaveSource : std::uint8_t { notice, hostList, upstream, operatorRequest };
 
 /// \brief That an upstream leaves. It is never taken back: what returns has a new id.
 /// \ingroup Membership
-struct LeaveNews {
+struct LeaveAnnouncement {
   UpstreamId upstream;
   /// Time left until it goes, at the time of sending.
   Millis remaining{0};
@@ -29,15 +29,15 @@
 
 /// \brief What one probe or its answer carries. Its size is bounded by MembershipPolicy.
 /// \ingroup Membership
-struct NewsBatch {
+struct GossipMessage {
   /// The sender itself, always up to date.
-  MemberNews sender;
+  MemberStatus sender;
   /// How many daemons the sender knows to live, itself included.
   std::uint64_t known = 0;
-  std::vector<MemberNews> members;
-  std::vector<LeaveNews> leaves;
+  std::vector<MemberStatus> members;
+  std::vector<LeaveAnnouncement> leaves;
 };
 
 }  // namespace Hallchute
 
-#endif  // HALLCHUTE_MEMBERSHIP_NEWSBATCH_H
+#endif  // HALLCHUTE_MEMBERSHIP_GOSSIPMESSAGE_H
--- a/Hallchute/src/Membership/Member.h
+++ b/Hallchute/src/Membership/Member.h
@@ -18,7 +18,7 @@
 
 /// \brief What one daemon tells another about a daemon.
 /// \ingroup Membership
-struct MemberNews {
+struct MemberStatus {
   DaemonId id;
   DomainName domain;
   /// Where its peers reach it, `ip:port`.
@@ -35,7 +35,7 @@
 /// \brief A daemon in the table of another.
 /// \ingroup Membership
 struct Member {
-  MemberNews news;
+  MemberStatus status;
   /// When its state was last changed here.
   Instant since{};
   /// When it last answered this daemon itself.
--- a/Hallchute/src/Membership/Membership.cpp
+++ b/Hallchute/src/Membership/Membership.cpp
@@ -20,7 +20,7 @@
 
 }  // namespace
 
-Membership::Membership(MembershipPolicy policy, MemberNews self, std::uint64_t seed)
+Membership::Membership(MembershipPolicy policy, MemberStatus self, std::uint64_t seed)
     : policy_(policy), self_(std::move(self)), random_(seed) {}
 
 void Membership::addSeed(const std::string& address) {
@@ -41,7 +41,7 @@
     ++self_.incarnation;
     outstanding_.clear();
     for (auto& [id, member] : members_) member.since = now;
-    actions.emplace_back(WokeOutdated{gap});
+    actions.emplace_back(LongPauseDetected{gap});
   }
   expire(now, actions);
   if (now < nextProbe_) return actions;
@@ -63,23 +63,23 @@
       continue;
     }
     const auto member = members_.find(it->first);
-    const bool own = member != members_.end() && member->second.news.domain == self_.domain;
-    if (own && member->second.news.state == MemberState::alive) {
+    const bool own = member != members_.end() && member->second.status.domain == self_.domain;
+    if (own && member->second.status.state == MemberState::alive) {
       setState(member->second, MemberState::suspect, now);
     }
     it = outstanding_.erase(it);
   }
   for (auto it = members_.begin(); it != members_.end();) {
     Member& member = it->second;
-    const bool own = member.news.domain == self_.domain;
-    const bool wasOwner = owns(member.news.state);
-    if (own && member.news.state == MemberState::suspect &&
+    const bool own = member.status.domain == self_.domain;
+    const bool wasOwner = owns(member.status.state);
+    if (own && member.status.state == MemberState::suspect &&
         now - member.since >= policy_.suspicion) {
       setState(member, MemberState::dead, now);
       changed = changed || wasOwner;
     }
     const bool forget =
-        member.news.state == MemberState::dead && now - member.since >= policy_.deadMemory;
+        member.status.state == MemberState::dead && now - member.since >= policy_.deadMemory;
     it = forget ? members_.erase(it) : std::next(it);
   }
   std::erase_if(leaves_, [&](const auto& entry) { return now >= entry.second.end + kLeaveMemory; });
@@ -87,15 +87,15 @@
 }
 
 void Membership::setState(Member& member, MemberState state, Instant now) {
-  member.news.state = state;
+  member.status.state = state;
   member.since = now;
-  rumours_[member.news.id] = Rumour{};
+  rumours_[member.status.id] = Rumour{};
 }
 
 const Member* Membership::nextTarget(bool foreign) {
   const auto eligible = [&](const Member& member) {
-    return member.news.state != MemberState::dead &&
-           (member.news.domain != self_.domain) == foreign;
+    return member.status.state != MemberState::dead &&
+           (member.status.domain != self_.domain) == foreign;
   };
   if (foreign) {
     std::vector<const Member*> found;
@@ -120,30 +120,30 @@
 }
 
 void Membership::probe(const Member& member, Instant now, std::vector<MembershipAction>& actions) {
-  outstanding_.emplace(member.news.id, Outstanding{now});
-  actions.emplace_back(SendProbe{member.news.id, member.news.address});
+  outstanding_.emplace(member.status.id, Outstanding{now});
+  actions.emplace_back(SendProbe{member.status.id, member.status.address});
 }
 
 std::uint64_t Membership::knownAlive() const {
   const auto alive = std::count_if(members_.begin(), members_.end(), [](const auto& entry) {
-    return entry.second.news.state != MemberState::dead;
+    return entry.second.status.state != MemberState::dead;
   });
   return static_cast<std::uint64_t>(alive) + 1;
 }
 
 /// A peer that lags behind is told a random part of all members, rumour or not.
-void Membership::addForJoiner(NewsBatch& batch) {
+void Membership::addForJoiner(GossipMessage& batch) {
   std::vector<const Member*> all;
   for (const auto& [id, member] : members_) {
-    if (member.news.state != MemberState::dead) all.push_back(&member);
+    if (member.status.state != MemberState::dead) all.push_back(&member);
   }
   std::shuffle(all.begin(), all.end(), random_);
   if (all.size() > policy_.membersForJoiner) all.resize(policy_.membersForJoiner);
-  for (const Member* member : all) batch.members.push_back(member->news);
+  for (const Member* member : all) batch.members.push_back(member->status);
 }
 
-NewsBatch Membership::compose(Instant now, std::uint64_t peerKnows) {
-  NewsBatch batch;
+GossipMessage Membership::compose(Instant now, std::uint64_t peerKnows) {
+  GossipMessage batch;
   batch.sender = self_;
   batch.known = knownAlive();
   if (peerKnows < batch.known) {
@@ -154,10 +154,10 @@
   std::vector<std::pair<std::size_t, DaemonId>> fresh;
   for (const auto& [id, rumour] : rumours_) fresh.emplace_back(rumour.said, id);
   std::sort(fresh.begin(), fresh.end());
-  if (fresh.size() > policy_.membersPerBatch) fresh.resize(policy_.membersPerBatch);
+  if (fresh.size() > policy_.membersPerMessage) fresh.resize(policy_.membersPerMessage);
   for (const auto& [said, id] : fresh) {
     const auto member = members_.find(id);
-    if (member != members_.end()) batch.members.push_back(member->second.news);
+    if (member != members_.end()) batch.members.push_back(member->second.status);
     if (member == members_.end() || said + 1 >= limit) {
       rumours_.erase(id);
     } else {
@@ -167,10 +167,10 @@
   // With nothing new to say, one member at random repairs what was missed.
   if (fresh.empty() && !members_.empty()) {
     const auto offset = static_cast<std::ptrdiff_t>(random_() % members_.size());
-    batch.members.push_back(std::next(members_.begin(), offset)->second.news);
+    batch.members.push_back(std::next(members_.begin(), offset)->second.status);
   }
   for (auto& [upstream, leave] : leaves_) {
-    if (leave.said >= limit || batch.leaves.size() >= policy_.leavesPerBatch) continue;
+    if (leave.said >= limit || batch.leaves.size() >= policy_.leavesPerMessage) continue;
     ++leave.said;
     const auto left = std::chrono::duration_cast<Millis>(leave.end - now);
     batch.leaves.push_back({upstream, std::max(left, Millis(0)), leave.source});
@@ -178,20 +178,20 @@
   return batch;
 }
 
-std::vector<MembershipAction> Membership::receive(const NewsBatch& batch, Instant now) {
+std::vector<MembershipAction> Membership::receive(const GossipMessage& batch, Instant now) {
   std::vector<MembershipAction> actions;
   seeds_.erase(batch.sender.address);
   outstanding_.erase(batch.sender.id);
   bool changed = false;
   // What a joiner is told in bulk is news to nobody else.
-  const bool bulk = batch.members.size() > policy_.membersPerBatch;
-  for (const MemberNews& news : batch.members) changed = take(news, now, !bulk) || changed;
+  const bool bulk = batch.members.size() > policy_.membersPerMessage;
+  for (const MemberStatus& status : batch.members) changed = take(status, now, !bulk) || changed;
   changed = take(batch.sender, now, true) || changed;
   if (const auto sender = members_.find(batch.sender.id); sender != members_.end()) {
     sender->second.heard = now;
-    sender->second.news.revision = batch.sender.revision;
-    sender->second.news.hostsVersion = batch.sender.hostsVersion;
-    if (sender->second.news.state == MemberState::suspect) {
+    sender->second.status.revision = batch.sender.revision;
+    sender->second.status.hostsVersion = batch.sender.hostsVersion;
+    if (sender->second.status.state == MemberState::suspect) {
       setState(sender->second, MemberState::alive, now);
     }
   }
@@ -202,57 +202,60 @@
   if (batch.sender.hostsVersion > self_.hostsVersion) {
     actions.emplace_back(NewerHosts{batch.sender.address, batch.sender.hostsVersion});
   }
-  for (const LeaveNews& news : batch.leaves) {
-    for (MembershipAction& action : announceLeave(news, now)) actions.push_back(std::move(action));
+  for (const LeaveAnnouncement& status : batch.leaves) {
+    for (MembershipAction& action : announceLeave(status, now))
+      actions.push_back(std::move(action));
   }
   return actions;
 }
 
 /// \returns whether the set of possible owners changed.
-bool Membership::take(const MemberNews& news, Instant now, bool spread) {
-  if (news.id == self_.id) return refute(news);
-  const auto [it, isNew] = members_.try_emplace(news.id, Member{news, now, Instant{}});
+bool Membership::take(const MemberStatus& status, Instant now, bool spread) {
+  if (status.id == self_.id) return refute(status);
+  const auto [it, isNew] = members_.try_emplace(status.id, Member{status, now, Instant{}});
   Member& member = it->second;
   if (isNew) {
-    if (spread) rumours_[news.id] = Rumour{};
-    return owns(news.state);
+    if (spread) rumours_[status.id] = Rumour{};
+    return owns(status.state);
   }
-  if (news.incarnation < member.news.incarnation) return false;
-  const bool sameLife = news.incarnation == member.news.incarnation;
-  if (sameLife && news.state <= member.news.state) {
-    member.news.revision = std::max(member.news.revision, news.revision);
+  if (status.incarnation < member.status.incarnation) return false;
+  const bool sameLife = status.incarnation == member.status.incarnation;
+  if (sameLife && status.state <= member.status.state) {
+    member.status.revision = std::max(member.status.revision, status.revision);
     return false;
   }
-  const bool owned = owns(member.news.state);
-  member.news = news;
+  const bool owned = owns(member.status.state);
+  member.status = status;
   member.since = now;
-  rumours_[news.id] = Rumour{};
-  return owned != owns(news.state) || !sameLife;
+  rumours_[status.id] = Rumour{};
+  return owned != owns(status.state) || !sameLife;
 }
 
-bool Membership::refute(const MemberNews& news) {
-  const bool wrong = news.state == MemberState::suspect || news.state == MemberState::dead;
-  if (wrong && news.incarnation >= self_.incarnation) self_.incarnation = news.incarnation + 1;
+bool Membership::refute(const MemberStatus& status) {
+  const bool wrong = status.state == MemberState::suspect || status.state == MemberState::dead;
+  if (wrong && status.incarnation >= self_.incarnation) self_.incarnation = status.incarnation + 1;
   return false;
 }
 
 std::vector<MembershipAction> Membership::probeFailed(const DaemonId& target, Instant now) {
   outstanding_.erase(target);
   const auto it = members_.find(target);
-  if (it == members_.end() || it->second.news.domain != self_.domain) return {};
-  if (it->second.news.state == MemberState::alive) setState(it->second, MemberState::suspect, now);
+  if (it == members_.end() || it->second.status.domain != self_.domain) return {};
+  if (it->second.status.state == MemberState::alive)
+    setState(it->second, MemberState::suspect, now);
   return {};
 }
 
-std::vector<MembershipAction> Membership::announceLeave(const LeaveNews& news, Instant now) {
+std::vector<MembershipAction> Membership::announceLeave(const LeaveAnnouncement& status,
+                                                        Instant now) {
   std::vector<MembershipAction> actions;
-  const Instant end = now + news.remaining;
-  const auto [it, isNew] = leaves_.try_emplace(news.upstream, LeaveRumour{end, news.source, 0});
+  const Instant end = now + status.remaining;
+  const auto [it, isNew] = leaves_.try_emplace(status.upstream, LeaveRumour{end, status.source, 0});
   if (!isNew) {
     it->second.end = std::min(it->second.end, end);
     return actions;
   }
-  actions.emplace_back(LeaveHeard{news});
+  actions.emplace_back(LeaveDiscovered{status});
   eager(now, actions);
   return actions;
 }
@@ -276,16 +279,16 @@
   std::vector<DaemonId> found;
   if (domain == self_.domain && owns(self_.state)) found.push_back(self_.id);
   for (const auto& [id, member] : members_) {
-    if (member.news.domain == domain && owns(member.news.state)) found.push_back(id);
+    if (member.status.domain == domain && owns(member.status.state)) found.push_back(id);
   }
   std::sort(found.begin(), found.end());
   return found;
 }
 
-bool Membership::mayLive(const DaemonId& id) const {
+bool Membership::mayBeAlive(const DaemonId& id) const {
   if (id == self_.id) return true;
   const auto it = members_.find(id);
-  return it != members_.end() && it->second.news.state != MemberState::dead;
+  return it != members_.end() && it->second.status.state != MemberState::dead;
 }
 
 const Member* Membership::find(const DaemonId& id) const {
@@ -296,7 +299,7 @@
 std::vector<Member> Membership::others() const {
   std::vector<Member> found;
   for (const auto& [id, member] : members_) {
-    if (member.news.state != MemberState::dead) found.push_back(member);
+    if (member.status.state != MemberState::dead) found.push_back(member);
   }
   return found;
 }
--- a/Hallchute/src/Membership/Membership.h
+++ b/Hallchute/src/Membership/Membership.h
@@ -12,10 +12,10 @@
 #include <string>
 #include <vector>
 
+#include "Hallchute/src/Membership/GossipMessage.h"
 #include "Hallchute/src/Membership/Member.h"
 #include "Hallchute/src/Membership/MembershipAction.h"
 #include "Hallchute/src/Membership/MembershipPolicy.h"
-#include "Hallchute/src/Membership/NewsBatch.h"
 
 namespace Hallchute {
 
@@ -28,30 +28,30 @@
 /// draws from the seed passed in. Cost of a tick: one pass over the members.
 class Membership {
  public:
-  Membership(MembershipPolicy policy, MemberNews self, std::uint64_t seed);
+  Membership(MembershipPolicy policy, MemberStatus self, std::uint64_t seed);
 
   /// \brief An address to probe until somebody answers there.
   void addSeed(const std::string& address);
   std::vector<MembershipAction> tick(Instant now);
   /// \brief What to say now; counts what is said, as each item is said a bounded number of times.
   /// \param peerKnows how many daemons its receiver knows; one that lags gets a larger batch.
-  NewsBatch compose(Instant now, std::uint64_t peerKnows = UINT64_MAX);
+  GossipMessage compose(Instant now, std::uint64_t peerKnows = UINT64_MAX);
   /// \brief Takes a batch that a peer sent or answered.
-  std::vector<MembershipAction> receive(const NewsBatch& batch, Instant now);
+  std::vector<MembershipAction> receive(const GossipMessage& batch, Instant now);
   /// \brief The probe of \p target failed at once (refused, reset).
   std::vector<MembershipAction> probeFailed(const DaemonId& target, Instant now);
   /// \brief Starts to spread that an upstream leaves.
-  std::vector<MembershipAction> announceLeave(const LeaveNews& news, Instant now);
+  std::vector<MembershipAction> announceLeave(const LeaveAnnouncement& news, Instant now);
   /// \brief This daemon stops: it owns nothing from now on.
   std::vector<MembershipAction> leave(Instant now);
   void setRevision(std::uint64_t revision) { self_.revision = revision; }
   void setHostsVersion(std::uint64_t version) { self_.hostsVersion = version; }
 
-  const MemberNews& self() const { return self_; }
+  const MemberStatus& self() const { return self_; }
   /// \brief Daemons of \p domain that may own shards, this one included, in order of their names.
   std::vector<DaemonId> owners(const DomainName& domain) const;
   /// \brief Whether \p id is this daemon or one not known to be dead.
-  bool mayLive(const DaemonId& id) const;
+  bool mayBeAlive(const DaemonId& id) const;
   const Member* find(const DaemonId& id) const;
   /// \brief All other members that are not dead.
   std::vector<Member> others() const;
@@ -69,19 +69,19 @@
     Instant since;
   };
 
-  bool take(const MemberNews& news, Instant now, bool spread);
-  bool refute(const MemberNews& news);
+  bool take(const MemberStatus& news, Instant now, bool spread);
+  bool refute(const MemberStatus& news);
   void setState(Member& member, MemberState state, Instant now);
   void expire(Instant now, std::vector<MembershipAction>& actions);
   void probe(const Member& member, Instant now, std::vector<MembershipAction>& actions);
   const Member* nextTarget(bool foreign);
-  void addForJoiner(NewsBatch& batch);
+  void addForJoiner(GossipMessage& batch);
   std::uint64_t knownAlive() const;
   std::size_t sayLimit() const;
   void eager(Instant now, std::vector<MembershipAction>& actions);
 
   MembershipPolicy policy_;
-  MemberNews self_;
+  MemberStatus self_;
   std::mt19937_64 random_;
   std::map<DaemonId, Member> members_;
   std::map<DaemonId, Rumour> rumours_;
--- a/Hallchute/src/Membership/MembershipAction.h
+++ b/Hallchute/src/Membership/MembershipAction.h
@@ -9,7 +9,7 @@
 
 #include "Hallchute/src/Core/Id.h"
 #include "Hallchute/src/Core/Time.h"
-#include "Hallchute/src/Membership/NewsBatch.h"
+#include "Hallchute/src/Membership/GossipMessage.h"
 
 namespace Hallchute {
 
@@ -27,14 +27,14 @@
 
 /// \brief This daemon was paused so long that others may have taken over what it held.
 /// \ingroup Membership
-struct WokeOutdated {
+struct LongPauseDetected {
   Millis gap{0};
 };
 
 /// \brief An upstream was heard to leave for the first time.
 /// \ingroup Membership
-struct LeaveHeard {
-  LeaveNews news;
+struct LeaveDiscovered {
+  LeaveAnnouncement announcement;
 };
 
 /// \brief A peer has newer settings.
@@ -52,8 +52,8 @@
 };
 
 /// \ingroup Membership
-using MembershipAction =
-    std::variant<SendProbe, OwnersChanged, WokeOutdated, LeaveHeard, NewerSettings, NewerHosts>;
+using MembershipAction = std::variant<SendProbe, OwnersChanged, LongPauseDetected, LeaveDiscovered,
+                                      NewerSettings, NewerHosts>;
 
 }  // namespace Hallchute
 
--- a/Hallchute/src/Membership/MembershipPolicy.h
+++ b/Hallchute/src/Membership/MembershipPolicy.h
@@ -22,10 +22,10 @@
   /// Every so many periods, a member of another domain is probed.
   std::size_t foreignEvery = 4;
   /// Members named in a batch besides its sender.
-  std::size_t membersPerBatch = 6;
+  std::size_t membersPerMessage = 6;
   /// Members named in the answer to a peer that knows fewer: it has just joined, or was cut off.
   std::size_t membersForJoiner = 64;
-  std::size_t leavesPerBatch = 16;
+  std::size_t leavesPerMessage = 16;
   /// Peers probed out of turn when an upstream is first heard to leave.
   std::size_t eagerFanout = 3;
   /// A gap between ticks from which the daemon takes itself for outdated.
--- a/Hallchute/src/Membership/UpstreamDirectory.cpp
+++ b/Hallchute/src/Membership/UpstreamDirectory.cpp
@@ -14,10 +14,9 @@
 
 }  // namespace
 
-std::vector<LeaveNews> UpstreamDirectory::applyList(std::uint64_t version,
-                                                    std::span<const HostListEntry> hosts,
-                                                    Instant now) {
-  std::vector<LeaveNews> leaves;
+std::vector<LeaveAnnouncement> UpstreamDirectory::applyHostList(
+    std::uint64_t version, std::span<const HostListEntry> hosts, Instant now) {
+  std::vector<LeaveAnnouncement> leaves;
   if (version < version_) return leaves;
   version_ = version;
   std::set<UpstreamId> listed;
--- a/Hallchute/src/Membership/UpstreamDirectory.h
+++ b/Hallchute/src/Membership/UpstreamDirectory.h
@@ -11,8 +11,8 @@
 #include <vector>
 
 #include "Hallchute/src/Core/Time.h"
+#include "Hallchute/src/Membership/GossipMessage.h"
 #include "Hallchute/src/Membership/HostListEntry.h"
-#include "Hallchute/src/Membership/NewsBatch.h"
 
 namespace Hallchute {
 
@@ -33,8 +33,8 @@
  public:
   /// \brief Takes a host list.
   /// \returns the leaves that only this list tells of.
-  std::vector<LeaveNews> applyList(std::uint64_t version, std::span<const HostListEntry> hosts,
-                                   Instant now);
+  std::vector<LeaveAnnouncement> applyHostList(std::uint64_t version,
+                                               std::span<const HostListEntry> hosts, Instant now);
   /// \brief Notes a leave.
   /// \returns whether it was news.
   bool noteLeave(const UpstreamId& upstream, Millis remaining, Instant now);
--- a/Hallchute/src/Net/PeerMessages.h
+++ b/Hallchute/src/Net/PeerMessages.h
@@ -12,8 +12,8 @@
 
 #include "Hallchute/src/Admission/GrantWanted.h"
 #include "Hallchute/src/Core/Refusal.h"
+#include "Hallchute/src/Membership/GossipMessage.h"
 #include "Hallchute/src/Membership/HostListEntry.h"
-#include "Hallchute/src/Membership/NewsBatch.h"
 #include "Hallchute/src/Net/WireCodec.h"
 #include "Hallchute/src/Routing/ShardKey.h"
 
@@ -140,13 +140,13 @@
 inline auto wireFields(HoldMessage& m) {
   return std::tie(m.shard, m.held);
 }
-inline auto wireFields(MemberNews& m) {
+inline auto wireFields(MemberStatus& m) {
   return std::tie(m.id, m.domain, m.address, m.incarnation, m.state, m.revision, m.hostsVersion);
 }
-inline auto wireFields(LeaveNews& m) {
+inline auto wireFields(LeaveAnnouncement& m) {
   return std::tie(m.upstream, m.remaining, m.source);
 }
-inline auto wireFields(NewsBatch& m) {
+inline auto wireFields(GossipMessage& m) {
   return std::tie(m.sender, m.known, m.members, m.leaves);
 }
 inline auto wireFields(SettingsRequestMessage& m) {
--- a/Hallchute/src/Recovery/AnswerAssembler.cpp
+++ b/Hallchute/src/Recovery/AnswerAssembler.cpp
@@ -15,23 +15,23 @@
   finished_ = false;
 }
 
-ChunkVerdict AnswerAssembler::take(const AnswerChunk& chunk) {
+ChunkResult AnswerAssembler::accept(const AnswerChunk& chunk) {
   if (chunk.epoch != epoch_ || finished_) {
     ++dropped_;
-    return ChunkVerdict::otherEpoch;
+    return ChunkResult::otherEpoch;
   }
-  if (chunk.offset > tokens_.size()) return ChunkVerdict::gap;
+  if (chunk.offset > tokens_.size()) return ChunkResult::gap;
   if (chunk.end) {
-    if (chunk.offset < tokens_.size()) return ChunkVerdict::gap;
+    if (chunk.offset < tokens_.size()) return ChunkResult::gap;
     finished_ = true;
-    return ChunkVerdict::finished;
+    return ChunkResult::finished;
   }
   if (chunk.offset < tokens_.size()) {
     ++dropped_;
-    return ChunkVerdict::duplicate;
+    return ChunkResult::duplicate;
   }
   tokens_.push_back(chunk.token);
-  return ChunkVerdict::taken;
+  return ChunkResult::appended;
 }
 
 std::string AnswerAssembler::textFrom(std::size_t offset) const {
--- a/Hallchute/src/Recovery/AnswerAssembler.h
+++ b/Hallchute/src/Recovery/AnswerAssembler.h
@@ -15,9 +15,9 @@
 
 /// \brief What became of a chunk.
 /// \ingroup Recovery
-enum class ChunkVerdict {
+enum class ChunkResult {
   /// It is the next token.
-  taken,
+  appended,
   /// It is the end mark and the answer is whole.
   finished,
   /// It is of another attempt.
@@ -40,7 +40,7 @@
   std::uint64_t beginAttempt();
   /// \brief Starts again with what another daemon had assembled.
   void restore(std::uint64_t epoch, std::vector<std::string> tokens);
-  ChunkVerdict take(const AnswerChunk& chunk);
+  ChunkResult accept(const AnswerChunk& chunk);
 
   std::uint64_t epoch() const { return epoch_; }
   const std::vector<std::string>& tokens() const { return tokens_; }
--- a/Hallchute/src/Recovery/RetryBudget.cpp
+++ b/Hallchute/src/Recovery/RetryBudget.cpp
@@ -15,11 +15,11 @@
 
 RetryBudget::RetryBudget(double ratio) : ratio_(ratio), level_(kBurst) {}
 
-void RetryBudget::noteFirstAttempt() {
+void RetryBudget::recordFirstAttempt() {
   level_ = std::min(kBurst, level_ + ratio_);
 }
 
-bool RetryBudget::takeRetry() {
+bool RetryBudget::tryConsumeRetry() {
   if (level_ < 1) return false;
   level_ -= 1;
   return true;
--- a/Hallchute/src/Recovery/RetryBudget.h
+++ b/Hallchute/src/Recovery/RetryBudget.h
@@ -15,9 +15,9 @@
   /// \param ratio retries per first attempt.
   explicit RetryBudget(double ratio);
   void setRatio(double ratio) { ratio_ = ratio; }
-  void noteFirstAttempt();
+  void recordFirstAttempt();
   /// \returns whether a retry may be made; if so it is taken off the budget.
-  bool takeRetry();
+  bool tryConsumeRetry();
 
  private:
   double ratio_;
--- a/bench/policy/Trial.cpp
+++ b/bench/policy/Trial.cpp
@@ -137,7 +137,7 @@
     ++result_.organisations[request.session.spec->organisation].requests;
     ++result_.requests;
   }
-  budget_.noteFirstAttempt();
+  budget_.recordFirstAttempt();
   want(id);
 }
 
@@ -179,7 +179,7 @@
   if (broken) {
     request.avoid.push_back(grant.upstream);
     perform(owner_.release(grant.id, GrantEnd::connectFailed, instant()));
-    const bool mayRetry = request.attempts < kMaxAttempts && budget_.takeRetry();
+    const bool mayRetry = request.attempts < kMaxAttempts && budget_.tryConsumeRetry();
     if (mayRetry) {
       schedule(now_ + kRefusedConnectMs, What::retry, grant.id);
     } else {
--- a/bench/slopes/main.cpp
+++ b/bench/slopes/main.cpp
@@ -50,13 +50,13 @@
   std::map<std::string, std::unique_ptr<Membership>> members;
   for (int d = 0; d < domains; ++d) {
     for (int i = 0; i < perDomain; ++i) {
-      MemberNews news;
-      news.id = DaemonId("domain" + std::to_string(d) + "-daemon" + std::to_string(i));
-      news.domain = DomainName("domain" + std::to_string(d));
-      news.address = news.id.str();
-      news.incarnation = 1;
-      auto& member = members[news.address];
-      member = std::make_unique<Membership>(MembershipPolicy{}, news, members.size());
+      MemberStatus status;
+      status.id = DaemonId("domain" + std::to_string(d) + "-daemon" + std::to_string(i));
+      status.domain = DomainName("domain" + std::to_string(d));
+      status.address = status.id.str();
+      status.incarnation = 1;
+      auto& member = members[status.address];
+      member = std::make_unique<Membership>(MembershipPolicy{}, status, members.size());
       member->addSeed("domain0-daemon0");
       member->addSeed("domain" + std::to_string(d) + "-daemon0");
     }
@@ -73,10 +73,10 @@
           if (probe == nullptr) continue;
           Membership& target = *members.at(probe->address);
           const std::string question = pack(member->compose(now));
-          const auto asked = unpack<NewsBatch>(question);
+          const auto asked = unpack<GossipMessage>(question);
           target.receive(*asked, now);
           const std::string answer = pack(target.compose(now, asked->known));
-          member->receive(*unpack<NewsBatch>(answer), now);
+          member->receive(*unpack<GossipMessage>(answer), now);
           // Each message is sent by one daemon and received by another: both pay.
           bytes += 2.0 * static_cast<double>(question.size() + answer.size());
           ++probes;
@@ -95,9 +95,9 @@
     if (restarts && second % 3 == 0) {
       // 1,900 restarts a day are one in 45 s; here it is one in 3 s.
       Membership& old = *members.begin()->second;
-      MemberNews news = old.self();
-      news.incarnation = static_cast<std::uint64_t>(++incarnation);
-      members.begin()->second = std::make_unique<Membership>(MembershipPolicy{}, news, 7);
+      MemberStatus status = old.self();
+      status.incarnation = static_cast<std::uint64_t>(++incarnation);
+      members.begin()->second = std::make_unique<Membership>(MembershipPolicy{}, status, 7);
       members.begin()->second->addSeed("domain0-daemon1");
     }
     run(Millis(1'000));
@@ -268,7 +268,7 @@
     hosts.push_back(entry);
   }
   const double before = cpuSeconds();
-  known->applyList(1, hosts, kStart);
+  known->applyHostList(1, hosts, kStart);
   const double applied = cpuSeconds() - before;
   const std::string at = std::to_string(upstreams) + " upstreams";
   line("host list", at, "milliseconds per list", applied * 1e3);
--- a/test/DutyFleet.cpp
+++ b/test/DutyFleet.cpp
@@ -177,16 +177,16 @@
   const Instant now = at(ms);
   const FleetView& view = *host.view;
   DutyFacts facts;
-  facts.heard = view.heardOthers(now);
+  facts.heard = view.liveOthers(now);
   if (host.endsAt == 0) facts.heard[DaemonId(host.name)] = host.keeper->self().incarnation;
   facts.known = view.known(now);
-  facts.met = view.hasMet(now);
+  facts.met = view.discoveryComplete(now);
   facts.usageComplete = view.usageComplete(now);
   facts.usage = view.usageElsewhere(now);
   addUsage(facts.usage, host.usage);
   facts.wallClock = view.clock().at(now);
   facts.named = host.keeper->holder();
-  for (const FleetReport* report : view.reports(now)) facts.named.learn(report->duties);
+  for (const FleetReport* report : view.reports(now)) facts.named.mergeNewer(report->duties);
   return facts;
 }
 
--- a/test/LedgerTest.cpp
+++ b/test/LedgerTest.cpp
@@ -21,8 +21,8 @@
   return made;
 }
 
-RecordFound found(const OnceRecord& record, bool holderMayLive = true) {
-  return {record, 9, holderMayLive};
+RecordFound found(const OnceRecord& record, bool holderMayBeAlive = true) {
+  return {record, 9, holderMayBeAlive};
 }
 
 /// How an attempt ended: what it says, and how often it dispatched.
@@ -39,13 +39,13 @@
   Ending ending{"open", 0, false};
   for (const OnceEvent& event : events) {
     step = attempt.next(event);
-    if (std::holds_alternative<DispatchOnce>(step)) ++ending.dispatches;
+    if (std::holds_alternative<DispatchRequest>(step)) ++ending.dispatches;
     if (const auto* answer = std::get_if<AnswerWithRecord>(&step)) {
       ending.word = answer->record.state == OnceState::done ? "answer" : "answer-unknown";
       ending.later = answer->storeLater;
       return ending;
     }
-    if (const auto* refuse = std::get_if<RefuseOnce>(&step)) {
+    if (const auto* refuse = std::get_if<RefuseRequest>(&step)) {
       ending.word = std::string(reasonWord(refuse->refusal.reason)) + "/" +
                     std::string(outcomeWord(refuse->refusal.outcome));
       ending.later = refuse->abandonLater;
@@ -68,7 +68,7 @@
                found(record("other", OnceState::done)),
                found(record("other", OnceState::abandoned))};
     if (recordMayStand) replies.emplace_back(found(record("mine")));
-  } else if (std::holds_alternative<DispatchOnce>(step)) {
+  } else if (std::holds_alternative<DispatchRequest>(step)) {
     replies = {DispatchAnswered{200, "t", "b"}, DispatchNeverSent{"n"}, DispatchMaybeSent{"m"}};
   }
   return replies;
@@ -192,13 +192,13 @@
   void explore(const OnceAttempt& attempt, const OnceStep& step, int dispatches, bool mayStand,
                int depth, std::size_t& endings) {
     constexpr int kDepth = 9;
-    const bool dispatch = std::holds_alternative<DispatchOnce>(step);
+    const bool dispatch = std::holds_alternative<DispatchRequest>(step);
     if (dispatch) {
       CPPUNIT_ASSERT_MESSAGE("dispatched without its record", mayStand);
       CPPUNIT_ASSERT_EQUAL_MESSAGE("dispatched twice", 0, dispatches);
       ++dispatches;
     }
-    if (const auto* refuse = std::get_if<RefuseOnce>(&step)) {
+    if (const auto* refuse = std::get_if<RefuseRequest>(&step)) {
       const bool ran = dispatches > 0 && refuse->refusal.reason != RefusalReason::upstreamFailed;
       CPPUNIT_ASSERT_MESSAGE("refused as not run after a dispatch",
                              !ran || refuse->refusal.outcome != RunOutcome::notRun);
--- a/test/MembershipTest.cpp
+++ b/test/MembershipTest.cpp
@@ -15,8 +15,8 @@
 
 const Instant kStart{std::chrono::hours(1)};
 
-MemberNews news(const std::string& id, const std::string& domain = "d") {
-  MemberNews made;
+MemberStatus status(const std::string& id, const std::string& domain = "d") {
+  MemberStatus made;
   made.id = DaemonId(id);
   made.domain = DomainName(domain);
   made.address = id;
@@ -30,7 +30,7 @@
   explicit Group(int size) {
     for (int i = 0; i < size; ++i) {
       const std::string name = "m" + std::to_string(i);
-      members_[name] = std::make_unique<Membership>(MembershipPolicy{}, news(name), 100 + i);
+      members_[name] = std::make_unique<Membership>(MembershipPolicy{}, status(name), 100 + i);
       members_[name]->addSeed("m0");
     }
   }
@@ -51,14 +51,14 @@
 
   void perform(const std::string& from, const std::vector<MembershipAction>& actions) {
     for (const MembershipAction& action : actions) {
-      if (const auto* heard = std::get_if<LeaveHeard>(&action)) {
+      if (const auto* heard = std::get_if<LeaveDiscovered>(&action)) {
         heardLeave_.emplace(from, now_);
         (void)heard;
       }
       const auto* probe = std::get_if<SendProbe>(&action);
       if (probe == nullptr || silent_.contains(probe->address)) continue;
       Membership& target = *members_[probe->address];
-      const NewsBatch sent = members_[from]->compose(now_);
+      const GossipMessage sent = members_[from]->compose(now_);
       perform(probe->address, target.receive(sent, now_));
       perform(from, members_[from]->receive(target.compose(now_, sent.known), now_));
     }
@@ -112,7 +112,7 @@
       group.run(Millis(5'000));
       const auto rest = static_cast<std::size_t>(size - 1);
       CPPUNIT_ASSERT_EQUAL(rest, group.agreeing(rest));
-      CPPUNIT_ASSERT(!group["m0"].mayLive(DaemonId("m1")));
+      CPPUNIT_ASSERT(!group["m0"].mayBeAlive(DaemonId("m1")));
       group.restore("m1");
       group.run(Millis(5'000));
       CPPUNIT_ASSERT_EQUAL(static_cast<std::size_t>(size),
@@ -121,7 +121,7 @@
   }
 
   void aPausedMemberFindsItselfOutdated() {
-    Membership member(MembershipPolicy{}, news("a"), 1);
+    Membership member(MembershipPolicy{}, status("a"), 1);
     member.tick(kStart);
     struct Case {
       Millis gap;
@@ -134,7 +134,7 @@
       const auto before = member.self().incarnation;
       bool woke = false;
       for (const auto& action : member.tick(now)) {
-        woke = woke || std::holds_alternative<WokeOutdated>(action);
+        woke = woke || std::holds_alternative<LongPauseDetected>(action);
       }
       CPPUNIT_ASSERT_EQUAL(c.outdated, woke);
       CPPUNIT_ASSERT_EQUAL(c.outdated, member.self().incarnation > before);
@@ -167,11 +167,11 @@
         {6, MemberState::alive, true},  {6, MemberState::leaving, false},
         {5, MemberState::alive, false},
     };
-    Membership member(MembershipPolicy{}, news("a"), 1);
+    Membership member(MembershipPolicy{}, status("a"), 1);
     for (const Case& c : cases) {
-      NewsBatch batch;
-      batch.sender = news("teller");
-      MemberNews about = news("b");
+      GossipMessage batch;
+      batch.sender = status("teller");
+      MemberStatus about = status("b");
       about.incarnation = c.incarnation;
       about.state = c.state;
       batch.members.push_back(about);
@@ -180,39 +180,39 @@
       const bool owns = std::count(owners.begin(), owners.end(), DaemonId("b")) > 0;
       CPPUNIT_ASSERT_EQUAL(c.owns, owns);
     }
-    NewsBatch slander;
-    slander.sender = news("teller");
-    slander.members.push_back(news("a"));
+    GossipMessage slander;
+    slander.sender = status("teller");
+    slander.members.push_back(status("a"));
     slander.members.back().state = MemberState::dead;
     member.receive(slander, kStart);
     CPPUNIT_ASSERT_EQUAL(std::uint64_t(2), member.self().incarnation);
   }
 
   void membersOfOtherDomainsAreNotSuspected() {
-    Membership member(MembershipPolicy{}, news("a"), 1);
-    NewsBatch batch;
-    batch.sender = news("far", "e");
+    Membership member(MembershipPolicy{}, status("a"), 1);
+    GossipMessage batch;
+    batch.sender = status("far", "e");
     member.receive(batch, kStart);
     for (Instant now = kStart; now < kStart + Millis(20'000); now += Millis(50)) member.tick(now);
     member.probeFailed(DaemonId("far"), kStart + Millis(20'000));
-    CPPUNIT_ASSERT(member.find(DaemonId("far"))->news.state == MemberState::alive);
+    CPPUNIT_ASSERT(member.find(DaemonId("far"))->status.state == MemberState::alive);
   }
 
   void batchesAreBounded() {
     MembershipPolicy policy;
-    Membership member(policy, news("a"), 1);
+    Membership member(policy, status("a"), 1);
     for (int i = 0; i < 200; ++i) {
-      NewsBatch batch;
-      batch.sender = news("m" + std::to_string(i));
+      GossipMessage batch;
+      batch.sender = status("m" + std::to_string(i));
       member.receive(batch, kStart);
       member.announceLeave({UpstreamId("u" + std::to_string(i)), Millis(1'000), {}}, kStart);
     }
     std::set<UpstreamId> said;
     for (int i = 0; i < 2'000; ++i) {
-      const NewsBatch batch = member.compose(kStart);
-      CPPUNIT_ASSERT(batch.members.size() <= policy.membersPerBatch);
-      CPPUNIT_ASSERT(batch.leaves.size() <= policy.leavesPerBatch);
-      for (const LeaveNews& leave : batch.leaves) said.insert(leave.upstream);
+      const GossipMessage batch = member.compose(kStart);
+      CPPUNIT_ASSERT(batch.members.size() <= policy.membersPerMessage);
+      CPPUNIT_ASSERT(batch.leaves.size() <= policy.leavesPerMessage);
+      for (const LeaveAnnouncement& leave : batch.leaves) said.insert(leave.upstream);
     }
     CPPUNIT_ASSERT_EQUAL(std::size_t(200), said.size());
     CPPUNIT_ASSERT(member.compose(kStart).leaves.empty());
@@ -232,16 +232,16 @@
     UpstreamDirectory directory;
     directory.noteLeave(UpstreamId("c"), Millis(500), kStart);
     const std::vector<HostListEntry> three{host("a"), host("b"), host("c")};
-    directory.applyList(5, three, kStart);
+    directory.applyHostList(5, three, kStart);
     CPPUNIT_ASSERT_EQUAL(std::size_t(2), live(directory));
     CPPUNIT_ASSERT(directory.noteLeave(UpstreamId("a"), Millis(500), kStart));
     CPPUNIT_ASSERT(!directory.noteLeave(UpstreamId("a"), Millis(900), kStart));
     CPPUNIT_ASSERT_EQUAL(std::size_t(1), live(directory));
-    directory.applyList(6, three, kStart);
+    directory.applyHostList(6, three, kStart);
     CPPUNIT_ASSERT_EQUAL(std::size_t(1), live(directory));
     // An older list is not believed; a newer one that lacks b says that b is gone.
-    CPPUNIT_ASSERT(directory.applyList(4, {}, kStart).empty());
-    const auto gone = directory.applyList(7, std::vector<HostListEntry>{host("a")}, kStart);
+    CPPUNIT_ASSERT(directory.applyHostList(4, {}, kStart).empty());
+    const auto gone = directory.applyHostList(7, std::vector<HostListEntry>{host("a")}, kStart);
     CPPUNIT_ASSERT_EQUAL(std::size_t(1), gone.size());
     CPPUNIT_ASSERT(gone.front().upstream == UpstreamId("b"));
   }
--- a/test/PeerTransportTest.cpp
+++ b/test/PeerTransportTest.cpp
@@ -155,9 +155,9 @@
       std::string noise(random() % 64, '\0');
       for (char& c : noise) c = static_cast<char>(random());
       unpack<GrantRequestMessage>(noise);
-      unpack<NewsBatch>(noise);
+      unpack<GossipMessage>(noise);
     }
-    CPPUNIT_ASSERT(!unpack<NewsBatch>(bytes));
+    CPPUNIT_ASSERT(!unpack<GossipMessage>(bytes));
   }
 
   void garbageOnTheConnectionHarmsNobody() {
--- a/test/RecoveryTest.cpp
+++ b/test/RecoveryTest.cpp
@@ -32,29 +32,29 @@
   void onlyTheNextTokenOfThisAttemptIsTaken() {
     struct Case {
       AnswerChunk chunk;
-      ChunkVerdict verdict;
+      ChunkResult verdict;
     };
     // After two tokens of epoch 2.
     const Case cases[] = {
-        {chunk(2, 2, "c"), ChunkVerdict::taken},
-        {chunk(1, 2, "c"), ChunkVerdict::otherEpoch},
-        {chunk(3, 2, "c"), ChunkVerdict::otherEpoch},
-        {chunk(2, 1, "b"), ChunkVerdict::duplicate},
-        {chunk(2, 3, "d"), ChunkVerdict::gap},
-        {chunk(2, 2, "", true), ChunkVerdict::finished},
-        {chunk(2, 5, "", true), ChunkVerdict::gap},
-        {chunk(2, 1, "", true), ChunkVerdict::gap},
-        {chunk(1, 2, "", true), ChunkVerdict::otherEpoch},
+        {chunk(2, 2, "c"), ChunkResult::appended},
+        {chunk(1, 2, "c"), ChunkResult::otherEpoch},
+        {chunk(3, 2, "c"), ChunkResult::otherEpoch},
+        {chunk(2, 1, "b"), ChunkResult::duplicate},
+        {chunk(2, 3, "d"), ChunkResult::gap},
+        {chunk(2, 2, "", true), ChunkResult::finished},
+        {chunk(2, 5, "", true), ChunkResult::gap},
+        {chunk(2, 1, "", true), ChunkResult::gap},
+        {chunk(1, 2, "", true), ChunkResult::otherEpoch},
     };
     for (const Case& c : cases) {
       AnswerAssembler answer;
       answer.beginAttempt();
       answer.beginAttempt();
-      answer.take(chunk(2, 0, "a"));
-      answer.take(chunk(2, 1, "b"));
-      CPPUNIT_ASSERT(answer.take(c.chunk) == c.verdict);
-      CPPUNIT_ASSERT_EQUAL(c.verdict == ChunkVerdict::finished, answer.finished());
-      CPPUNIT_ASSERT_EQUAL(c.verdict == ChunkVerdict::taken ? std::size_t(3) : std::size_t(2),
+      answer.accept(chunk(2, 0, "a"));
+      answer.accept(chunk(2, 1, "b"));
+      CPPUNIT_ASSERT(answer.accept(c.chunk) == c.verdict);
+      CPPUNIT_ASSERT_EQUAL(c.verdict == ChunkResult::finished, answer.finished());
+      CPPUNIT_ASSERT_EQUAL(c.verdict == ChunkResult::appended ? std::size_t(3) : std::size_t(2),
                            answer.tokens().size());
     }
   }
@@ -63,11 +63,11 @@
     AnswerAssembler answer;
     answer.restore(4, {"a", "b"});
     CPPUNIT_ASSERT_EQUAL(std::uint64_t(5), answer.beginAttempt());
-    CPPUNIT_ASSERT(answer.take(chunk(4, 2, "stale")) == ChunkVerdict::otherEpoch);
-    answer.take(chunk(5, 2, "c"));
-    CPPUNIT_ASSERT(answer.take(chunk(5, 3, "", true)) == ChunkVerdict::finished);
+    CPPUNIT_ASSERT(answer.accept(chunk(4, 2, "stale")) == ChunkResult::otherEpoch);
+    answer.accept(chunk(5, 2, "c"));
+    CPPUNIT_ASSERT(answer.accept(chunk(5, 3, "", true)) == ChunkResult::finished);
     CPPUNIT_ASSERT_EQUAL(std::string("abc"), answer.textFrom(0));
-    CPPUNIT_ASSERT(answer.take(chunk(5, 3, "more")) == ChunkVerdict::otherEpoch);
+    CPPUNIT_ASSERT(answer.accept(chunk(5, 3, "more")) == ChunkResult::otherEpoch);
   }
 
   void migrationsFitTheWindow() {
@@ -111,9 +111,9 @@
     RetryBudget budget(0.2);
     int retries = 0;
     for (int i = 0; i < 1'000; ++i) {
-      budget.noteFirstAttempt();
+      budget.recordFirstAttempt();
       // Every attempt fails and asks for three retries.
-      for (int r = 0; r < 3; ++r) retries += budget.takeRetry() ? 1 : 0;
+      for (int r = 0; r < 3; ++r) retries += budget.tryConsumeRetry() ? 1 : 0;
     }
     CPPUNIT_ASSERT_MESSAGE(std::to_string(retries), retries >= 200 && retries <= 251);
   }
--- a/test/UpstreamContractTest.cpp
+++ b/test/UpstreamContractTest.cpp
@@ -158,7 +158,7 @@
       request.epoch = answer.beginAttempt();
       port.generate(request, kStall, [&](const EngineEvent& event) {
         const auto* chunk = std::get_if<AnswerChunk>(&event);
-        return chunk == nullptr || answer.take(*chunk) != ChunkVerdict::finished;
+        return chunk == nullptr || answer.accept(*chunk) != ChunkResult::finished;
       });
       // An engine asked for nothing more sends no end mark, and none is made up.
       CPPUNIT_ASSERT_EQUAL(start < 20, answer.finished());
@@ -182,21 +182,22 @@
     request.epoch = 1;
     request.prompt = "p";
     request.maxTokens = 10;
-    const auto take = [](const EngineEvent&) { return true; };
+    const auto accept = [](const EngineEvent&) { return true; };
     for (const Case& c : cases) {
       Engine engine;
       engine.control(c.path, c.json);
       EngineHttp port(engine.address(), "127.0.0.1", kConnect);
       CPPUNIT_ASSERT_EQUAL_MESSAGE(c.json, std::string(c.word),
-                                   wordOf(port.generate(request, kStall, take).end));
+                                   wordOf(port.generate(request, kStall, accept).end));
     }
     EngineHttp nowhere("127.0.0.1:1", "127.0.0.1", kConnect);
     CPPUNIT_ASSERT_EQUAL(std::string("connect-failed"),
-                         wordOf(nowhere.generate(request, kStall, take).end));
+                         wordOf(nowhere.generate(request, kStall, accept).end));
     RawServer silent("HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\ndata: {}", true);
     EngineHttp frozen(silent.address(), "127.0.0.1", kConnect);
     const auto start = std::chrono::steady_clock::now();
-    CPPUNIT_ASSERT_EQUAL(std::string("broke"), wordOf(frozen.generate(request, kStall, take).end));
+    CPPUNIT_ASSERT_EQUAL(std::string("broke"),
+                         wordOf(frozen.generate(request, kStall, accept).end));
     CPPUNIT_ASSERT(std::chrono::steady_clock::now() - start < 5 * kStall);
   }
 
