--- a/Hallchute/src/Admission/GrantWanted.h
+++ b/Hallchute/src/Admission/GrantRequest.h
@@ -1,8 +1,8 @@
 // This file is part of hallchute, a serving system for language models.
 // SPDX-License-Identifier: Apache-2.0
 
-#ifndef HALLCHUTE_ADMISSION_GRANTWANTED_H
-#define HALLCHUTE_ADMISSION_GRANTWANTED_H
+#ifndef HALLCHUTE_ADMISSION_GRANTREQUEST_H
+#define HALLCHUTE_ADMISSION_GRANTREQUEST_H
 
 #include <cstdint>
 #include <optional>
@@ -19,7 +19,7 @@
 
 /// \brief A daemon's request for a slot at an upstream.
 /// \ingroup Admission
-struct GrantWanted {
+struct GrantRequest {
   GrantId id = 0;
   OrganisationName organisation;
   double weight = 1;
@@ -30,7 +30,7 @@
   std::uint64_t affinity = 0;
   std::vector<std::uint64_t> prefixHashes;
   /// Upstreams at which this request has already failed.
-  std::vector<UpstreamId> avoid;
+  std::vector<UpstreamId> failedUpstreams;
   /// The request was already running and moves from a draining or failed upstream: it goes before
   /// new requests.
   bool resumption = false;
@@ -40,7 +40,7 @@
 
 /// \brief A grant made by a previous owner and reported to its successor.
 /// \ingroup Admission
-struct GrantHeld {
+struct ExistingGrant {
   GrantId id = 0;
   UpstreamId upstream;
   OrganisationName organisation;
@@ -53,4 +53,4 @@
 
 }  // namespace Hallchute
 
-#endif  // HALLCHUTE_ADMISSION_GRANTWANTED_H
+#endif  // HALLCHUTE_ADMISSION_GRANTREQUEST_H
--- a/Hallchute/src/Admission/ShardOwner.cpp
+++ b/Hallchute/src/Admission/ShardOwner.cpp
@@ -20,13 +20,14 @@
 /// Ranks a resumption before any new request, whatever its class.
 constexpr double kResumptionUrgency = 1e6;
 
-std::size_t costOf(const GrantWanted& wanted) {
+std::size_t costOf(const GrantRequest& wanted) {
   return wanted.promptTokens + wanted.expectedTokens;
 }
 
-bool hasFailedAt(const GrantWanted& wanted, const UpstreamId& upstream) {
-  const auto& avoid = wanted.avoid;
-  return std::find(avoid.begin(), avoid.end(), upstream) != avoid.end();
+bool hasFailedAt(const GrantRequest& wanted, const UpstreamId& upstream) {
+  const auto& failedUpstreams = wanted.failedUpstreams;
+  return std::find(failedUpstreams.begin(), failedUpstreams.end(), upstream) !=
+         failedUpstreams.end();
 }
 
 Refusal refusal(RefusalReason reason, std::string detail, Millis retryAfter) {
@@ -69,7 +70,7 @@
   return actions;
 }
 
-std::vector<GrantAction> ShardOwner::markLeaving(const UpstreamId& upstream, Instant now) {
+std::vector<GrantAction> ShardOwner::markDraining(const UpstreamId& upstream, Instant now) {
   std::vector<GrantAction> actions;
   if (const auto upstreamIndex = indexOf(upstream)) upstreams_[*upstreamIndex].draining = true;
   grantQueued(now, actions);
@@ -109,7 +110,7 @@
   return upstreamIndex ? upstreams_[*upstreamIndex].inFlight : 0;
 }
 
-std::vector<GrantAction> ShardOwner::want(GrantWanted wanted, Instant now) {
+std::vector<GrantAction> ShardOwner::requestGrant(GrantRequest wanted, Instant now) {
   if (auto refused = limitRefusal(wanted, now)) return {GrantRefused{wanted.id, *refused}};
   if (queue_.empty() || wanted.resumption) {
     if (auto granted = tryGrant(wanted, now)) return {*granted};
@@ -127,7 +128,7 @@
   return actions;
 }
 
-std::optional<Refusal> ShardOwner::limitRefusal(const GrantWanted& wanted, Instant now) {
+std::optional<Refusal> ShardOwner::limitRefusal(const GrantRequest& wanted, Instant now) {
   if (now >= wanted.deadline) {
     return refusal(RefusalReason::overloaded, "its deadline passed before it came to be queued",
                    expectedWait(now));
@@ -149,7 +150,7 @@
 }
 
 /// Refuses the request that ranks last in the full queue, which may be the new one.
-GrantRefused ShardOwner::evictLowestRanked(const GrantWanted& wanted, Instant now) {
+GrantRefused ShardOwner::evictLowestRanked(const GrantRequest& wanted, Instant now) {
   const Refusal full = refusal(RefusalReason::overloaded, "the queue is full", expectedWait(now));
   Rank last = rankOf(QueuedRequest{wanted, now}, queue_.size(), now);
   for (std::size_t i = 0; i < queue_.size(); ++i) {
@@ -177,7 +178,7 @@
   return {-static_cast<std::int64_t>(urgency), share, entry.since, index};
 }
 
-std::optional<Granted> ShardOwner::tryGrant(const GrantWanted& wanted, Instant now) {
+std::optional<Granted> ShardOwner::tryGrant(const GrantRequest& wanted, Instant now) {
   std::vector<Candidate> candidates;
   std::size_t usableCount = 0;
   std::size_t usableInFlight = 0;
@@ -214,7 +215,7 @@
 }
 
 /// \returns for each number of cached leading blocks, the cost of computing the rest of the prompt.
-std::vector<double> ShardOwner::computeCosts(const GrantWanted& wanted) const {
+std::vector<double> ShardOwner::computeCosts(const GrantRequest& wanted) const {
   constexpr std::size_t kBlock = PrefixBlocks::kTokensPerBlock;
   const std::size_t blocks = wanted.prefixHashes.size();
   const std::size_t inBlocks = std::min(wanted.promptTokens, blocks * kBlock);
@@ -231,7 +232,7 @@
   return costs;
 }
 
-Granted ShardOwner::grantAt(const GrantWanted& wanted, std::size_t upstreamIndex,
+Granted ShardOwner::grantAt(const GrantRequest& wanted, std::size_t upstreamIndex,
                             std::size_t cached, Instant now) {
   OwnedUpstream& upstream = upstreams_[upstreamIndex];
   const std::size_t cost = costOf(wanted);
@@ -275,7 +276,7 @@
   }
 }
 
-void ShardOwner::hold(const GrantHeld& held) {
+void ShardOwner::hold(const ExistingGrant& held) {
   auto upstreamIndex = indexOf(held.upstream);
   if (!upstreamIndex) {
     upstreams_.emplace_back(held.upstream, stableHash(held.upstream.str()),
--- a/Hallchute/src/Admission/ShardOwner.h
+++ b/Hallchute/src/Admission/ShardOwner.h
@@ -11,7 +11,7 @@
 
 #include "Hallchute/src/Admission/FairShare.h"
 #include "Hallchute/src/Admission/GrantAction.h"
-#include "Hallchute/src/Admission/GrantWanted.h"
+#include "Hallchute/src/Admission/GrantRequest.h"
 #include "Hallchute/src/Admission/OwnedUpstream.h"
 #include "Hallchute/src/Admission/ShardPolicy.h"
 #include "Hallchute/src/Admission/TokenBucket.h"
@@ -36,10 +36,10 @@
   /// \brief Sets the live upstreams. Others drain, and are removed once their requests have ended.
   std::vector<GrantAction> setUpstreams(std::span<const UpstreamId> live, Instant now);
   /// \brief Stops new grants at \p upstream. Idempotent.
-  std::vector<GrantAction> markLeaving(const UpstreamId& upstream, Instant now);
-  std::vector<GrantAction> want(GrantWanted wanted, Instant now);
+  std::vector<GrantAction> markDraining(const UpstreamId& upstream, Instant now);
+  std::vector<GrantAction> requestGrant(GrantRequest wanted, Instant now);
   /// \brief Restores a grant that a previous owner made.
-  void hold(const GrantHeld& held);
+  void hold(const ExistingGrant& held);
   /// \brief Ends the request's prefill, so that its upstream can be granted another one.
   std::vector<GrantAction> noteFirstToken(GrantId id, Instant now);
   /// \brief Frees the grant's slot or removes the request from the queue. Ignores unknown ids.
@@ -56,7 +56,7 @@
 
  private:
   struct QueuedRequest {
-    GrantWanted wanted;
+    GrantRequest wanted;
     Instant since;
   };
   struct ActiveGrant {
@@ -76,11 +76,11 @@
     auto operator<=>(const Rank&) const = default;
   };
 
-  std::optional<Refusal> limitRefusal(const GrantWanted& wanted, Instant now);
-  GrantRefused evictLowestRanked(const GrantWanted& wanted, Instant now);
-  std::optional<Granted> tryGrant(const GrantWanted& wanted, Instant now);
-  std::vector<double> computeCosts(const GrantWanted& wanted) const;
-  Granted grantAt(const GrantWanted& wanted, std::size_t upstreamIndex, std::size_t cached,
+  std::optional<Refusal> limitRefusal(const GrantRequest& wanted, Instant now);
+  GrantRefused evictLowestRanked(const GrantRequest& wanted, Instant now);
+  std::optional<Granted> tryGrant(const GrantRequest& wanted, Instant now);
+  std::vector<double> computeCosts(const GrantRequest& wanted) const;
+  Granted grantAt(const GrantRequest& wanted, std::size_t upstreamIndex, std::size_t cached,
                   Instant now);
   void grantQueued(Instant now, std::vector<GrantAction>& actions);
   std::vector<std::size_t> queueOrder(Instant now) const;
--- a/Hallchute/src/Capacity/ReplicaPlanner.h
+++ b/Hallchute/src/Capacity/ReplicaPlanner.h
@@ -71,7 +71,7 @@
   /// \brief Discards the last orders and the demand, as another daemon may have ordered since.
   /// \param tookOver whether a previous holder ordered the existing replicas and the load reports
   /// may still be incomplete.
-  void startOver(bool tookOver);
+  void resetOrders(bool tookOver);
   /// \brief How many replicas a service needed at the last plan; 0 before the first.
   std::uint32_t need(const ServiceName& service) const;
 
--- a/Hallchute/src/Duty/DutyRecord.h
+++ b/Hallchute/src/Duty/DutyRecord.h
@@ -20,15 +20,15 @@
   DutyHolder holder;
   /// Finalised counts by window. They may have been reported already, so no holder ever reports
   /// different ones.
-  UsageByWindow fixed;
+  UsageByWindow finalUsage;
   /// The last window up to which reports were acknowledged; 0 if none was.
   std::int64_t sentThrough = 0;
   /// Checkpoint of the counts of windows that are not finalised yet: the only copy left if every
   /// daemon stops.
-  UsageByWindow counted{};
+  UsageByWindow openUsage{};
   /// The part of `openUsage` that is known from the record alone, since all daemons that counted it
   /// have stopped.
-  UsageByWindow orphaned{};
+  UsageByWindow orphanedUsage{};
   /// Number of daemons that the writer knew when it last wrote counts; 0 if none were written yet.
   /// Daemons that start later read from it how many share the quotas.
   std::size_t daemons = 0;
--- a/Hallchute/src/Duty/DutyKeeper.cpp
+++ b/Hallchute/src/Duty/DutyStateMachine.cpp
@@ -1,7 +1,7 @@
 // This file is part of hallchute, a serving system for language models.
 // SPDX-License-Identifier: Apache-2.0
 
-#include "Hallchute/src/Duty/DutyKeeper.h"
+#include "Hallchute/src/Duty/DutyStateMachine.h"
 
 #include <algorithm>
 #include <utility>
@@ -36,97 +36,100 @@
 
 }  // namespace
 
-DutyKeeper::DutyKeeper(DutyPolicy policy, DaemonId self, std::uint64_t incarnation)
+DutyStateMachine::DutyStateMachine(DutyPolicy policy, DaemonId self, std::uint64_t incarnation)
     : policy_(policy), self_{std::move(self), incarnation, 0} {}
 
-DutyHolder DutyKeeper::holder() const {
+DutyHolder DutyStateMachine::holder() const {
   DutyHolder holder = stored_ ? stored_->record.holder : DutyHolder{};
   if (resignedHolder_) holder.mergeNewer(*resignedHolder_);
   return holder;
 }
 
-bool DutyKeeper::renewedWithin(Millis time, Instant now) const {
+bool DutyStateMachine::renewedWithin(Millis time, Instant now) const {
   return holdsDuties_ && now - renewedAt_ <= time;
 }
 
-DutyStep DutyKeeper::renewal() const {
+DutyStep DutyStateMachine::renewal() const {
   return DutySteps::Write{stored_->record, stored_->revision};
 }
 
-DutyStep DutyKeeper::release(const DutyFacts& facts) const {
+DutyStep DutyStateMachine::release(const DutyFacts& facts) const {
   DutyRecord record = stored_->record;
-  record.counted = openWindowUsage(facts, record);
+  record.openUsage = openWindowUsage(facts, record);
   record.holder = DutyHolder{{}, 0, record.holder.epoch};
   return DutySteps::Write{std::move(record), stored_->revision};
 }
 
-void DutyKeeper::stepDown() {
+void DutyStateMachine::stepDown() {
   holdsDuties_ = false;
   stored_.reset();
   pendingRecord_.reset();
   pendingReport_.reset();
 }
 
-bool DutyKeeper::isPreferredCandidate(const DutyFacts& facts) const {
+bool DutyStateMachine::isPreferredCandidate(const DutyFacts& facts) const {
   auto first = facts.heard.begin();
-  const bool resigned = facts.named.resigned && facts.heard.size() > 1;
-  if (resigned && first->first == facts.named.daemon) ++first;
+  const bool resigned = facts.reportedHolder.resigned && facts.heard.size() > 1;
+  if (resigned && first->first == facts.reportedHolder.daemon) ++first;
   return first != facts.heard.end() && first->first == self_.daemon;
 }
 
-bool DutyKeeper::isReportedHolder(const DutyFacts& facts) const {
-  return facts.named.daemon == self_.daemon && facts.named.incarnation == self_.incarnation;
+bool DutyStateMachine::isReportedHolder(const DutyFacts& facts) const {
+  return facts.reportedHolder.daemon == self_.daemon &&
+         facts.reportedHolder.incarnation == self_.incarnation;
 }
 
-bool DutyKeeper::isHeldByLiveDaemon(const DutyFacts& facts) const {
-  const DutyHolder& named = facts.named;
-  if (named.epoch == 0 || named.resigned || named.daemon == self_.daemon) return false;
-  const auto heard = facts.heard.find(named.daemon);
-  return heard != facts.heard.end() && heard->second == named.incarnation;
+bool DutyStateMachine::isHeldByLiveDaemon(const DutyFacts& facts) const {
+  const DutyHolder& reportedHolder = facts.reportedHolder;
+  if (reportedHolder.epoch == 0 || reportedHolder.resigned || reportedHolder.daemon == self_.daemon)
+    return false;
+  const auto heard = facts.heard.find(reportedHolder.daemon);
+  return heard != facts.heard.end() && heard->second == reportedHolder.incarnation;
 }
 
-bool DutyKeeper::shouldResign(const DutyFacts& facts, Instant now) const {
-  if (!isReportedHolder(facts) || facts.named.resigned || !unavailableSince_) return false;
+bool DutyStateMachine::shouldResign(const DutyFacts& facts, Instant now) const {
+  if (!isReportedHolder(facts) || facts.reportedHolder.resigned || !unavailableSince_) return false;
   return now - *unavailableSince_ >= policy_.lease && facts.storeAge <= kMaxStoreAge;
 }
 
-void DutyKeeper::resign(const DutyHolder& holder) {
+void DutyStateMachine::resign(const DutyHolder& holder) {
   stepDown();
   resignedHolder_ = holder;
   resignedHolder_->resigned = true;
 }
 
-bool DutyKeeper::mayTakeOver(const DutyFacts& facts, Instant now) const {
+bool DutyStateMachine::mayTakeOver(const DutyFacts& facts, Instant now) const {
   const DutyHolder& holder = stored_->record.holder;
   if (holder.daemon.empty()) return true;
   const auto heard = facts.heard.find(holder.daemon);
   // A different incarnation means that the process that held the duties has ended.
   if (heard != facts.heard.end()) {
-    const bool resigned = facts.named.resigned && facts.named.epoch == holder.epoch;
+    const bool resigned =
+        facts.reportedHolder.resigned && facts.reportedHolder.epoch == holder.epoch;
     return resigned || heard->second != holder.incarnation;
   }
   return now - unchangedSince_ >= policy_.lease + kLeaseMargin;
 }
 
-DutyRecord DutyKeeper::recordAfterTakeover(const DutyRecord& before) {
-  inheritedUsage_ = before.counted;
+DutyRecord DutyStateMachine::recordAfterTakeover(const DutyRecord& before) {
+  inheritedUsage_ = before.openUsage;
   DutyRecord record = before;
   record.holder = self_;
   record.holder.epoch = before.holder.epoch + 1;
   // No running daemon reports these counts, so they are added to those reported from now on.
-  if (previousFleetEnded_) record.orphaned = record.counted;
+  if (previousFleetEnded_) record.orphanedUsage = record.openUsage;
   return record;
 }
 
-DutyStep DutyKeeper::next(const DutyFacts& facts, Instant now) {
+DutyStep DutyStateMachine::next(const DutyFacts& facts, Instant now) {
   if (now < retryAt_) return DutySteps::Nothing{};
-  if (shouldResign(facts, now)) resign(facts.named);
-  if (holdsDuties_ && facts.named.epoch > holder().epoch) stepDown();
+  if (shouldResign(facts, now)) resign(facts.reportedHolder);
+  if (holdsDuties_ && facts.reportedHolder.epoch > holder().epoch) stepDown();
   return holdsDuties_ ? nextAsHolder(facts, now) : nextAsNonHolder(facts, now);
 }
 
-DutyStep DutyKeeper::nextAsNonHolder(const DutyFacts& facts, Instant now) {
-  if (!facts.met) return DutySteps::Nothing{};
+DutyStep DutyStateMachine::nextAsNonHolder(const DutyFacts& facts, Instant now) {
+  if (!facts.fleetDiscovered) return DutySteps::Nothing{};
   // A holder whose last write has an unknown outcome rereads the record itself: the others wait for
   // it.
   if (!isPreferredCandidate(facts) && !isReportedHolder(facts)) {
@@ -145,7 +148,7 @@
   }
   if (!stored_) {
     // Any daemon that has been running since before the last holder ended reports that holder.
-    previousFleetEnded_ = facts.named.epoch == 0 && facts.heard.size() >= facts.known;
+    previousFleetEnded_ = facts.reportedHolder.epoch == 0 && facts.heard.size() >= facts.known;
     return DutySteps::Read{};
   }
   if (!mayTakeOver(facts, now)) {
@@ -156,7 +159,7 @@
   return DutySteps::Write{*pendingRecord_, stored_->revision};
 }
 
-std::int64_t DutyKeeper::firstUnreportedWindow(const DutyFacts& facts) const {
+std::int64_t DutyStateMachine::firstUnreportedWindow(const DutyFacts& facts) const {
   const std::int64_t oldest =
       (facts.wallClock - policy_.reportDeadline - policy_.window) / policy_.window;
   const DutyRecord& record = stored_->record;
@@ -164,19 +167,19 @@
   if (record.sentThrough > 0) return first;
   // Nothing was reported yet: skip the windows before the deployment's first requests.
   const UsageByWindow unfinalised = this->unfinalisedUsage(facts);
-  const UsageByWindow& earliest = record.fixed.empty() ? unfinalised : record.fixed;
+  const UsageByWindow& earliest = record.finalUsage.empty() ? unfinalised : record.finalUsage;
   return earliest.empty() ? first : std::max(first, earliest.begin()->first);
 }
 
 /// Counts of all windows that are not finalised, from the daemons' reports and from the record as
 /// it was when this daemon took over the duties.
-UsageByWindow DutyKeeper::unfinalisedUsage(const DutyFacts& facts) const {
+UsageByWindow DutyStateMachine::unfinalisedUsage(const DutyFacts& facts) const {
   const DutyRecord& record = stored_->record;
-  UsageByWindow unfinalised = record.orphaned;
+  UsageByWindow unfinalised = record.orphanedUsage;
   addUsage(unfinalised, facts.usage);
   raiseUsage(unfinalised, inheritedUsage_);
   std::erase_if(unfinalised, [&](const auto& entry) {
-    return entry.first <= record.sentThrough || record.fixed.contains(entry.first);
+    return entry.first <= record.sentThrough || record.finalUsage.contains(entry.first);
   });
   return unfinalised;
 }
@@ -184,44 +187,45 @@
 /// Delay from a window's end until its counts are finalised. If running daemons are unreachable,
 /// waits as long as the deadline allows: counts without theirs are certainly wrong, whereas this
 /// daemon only might stop in the meantime.
-Millis DutyKeeper::finalisationDelay(const DutyFacts& facts) const {
+Millis DutyStateMachine::finalisationDelay(const DutyFacts& facts) const {
   const bool complete = facts.usageComplete && facts.heard.size() >= facts.known;
   return complete ? kMinFinalisationDelay
                   : std::max(kMinFinalisationDelay, policy_.reportDeadline - kReportReserve);
 }
 
 /// Checkpoint of the unreported windows that \p record doesn't hold as finalised.
-UsageByWindow DutyKeeper::openWindowUsage(const DutyFacts& facts, const DutyRecord& record) const {
+UsageByWindow DutyStateMachine::openWindowUsage(const DutyFacts& facts,
+                                                const DutyRecord& record) const {
   UsageByWindow unfinalised = this->unfinalisedUsage(facts);
   const std::int64_t first = firstUnreportedWindow(facts);
   std::erase_if(unfinalised, [&](const auto& entry) {
-    return record.fixed.contains(entry.first) || entry.first < first;
+    return record.finalUsage.contains(entry.first) || entry.first < first;
   });
   return unfinalised;
 }
 
 /// Finalises the counts of windows that ended long enough ago. \returns whether there were any.
-bool DutyKeeper::finaliseWindows(const DutyFacts& facts, DutyRecord& record) const {
+bool DutyStateMachine::finaliseWindows(const DutyFacts& facts, DutyRecord& record) const {
   const UsageByWindow unfinalised = this->unfinalisedUsage(facts);
   if (record.sentThrough == 0 && unfinalised.empty()) return false;
   const std::int64_t last = (facts.wallClock - finalisationDelay(facts)) / policy_.window - 1;
   bool added = false;
   for (std::int64_t window = firstUnreportedWindow(facts); window <= last; ++window) {
-    if (record.fixed.contains(window)) continue;
+    if (record.finalUsage.contains(window)) continue;
     const auto counts = unfinalised.find(window);
-    record.fixed[window] = counts == unfinalised.end() ? UsageCounts{} : counts->second;
-    record.orphaned.erase(window);
+    record.finalUsage[window] = counts == unfinalised.end() ? UsageCounts{} : counts->second;
+    record.orphanedUsage.erase(window);
     added = true;
   }
-  record.fixed.erase(record.fixed.begin(),
-                     record.fixed.lower_bound(record.sentThrough - kRetainedWindows));
+  record.finalUsage.erase(record.finalUsage.begin(),
+                          record.finalUsage.lower_bound(record.sentThrough - kRetainedWindows));
   return added;
 }
 
-DutyStep DutyKeeper::nextAsHolder(const DutyFacts& facts, Instant now) {
+DutyStep DutyStateMachine::nextAsHolder(const DutyFacts& facts, Instant now) {
   const DutyRecord& record = stored_->record;
   const std::int64_t first = firstUnreportedWindow(facts);
-  for (const auto& [window, counts] : record.fixed) {
+  for (const auto& [window, counts] : record.finalUsage) {
     if (window < first) continue;
     pendingReport_ = window;
     return DutySteps::SendUsage{record.holder.epoch, window, counts};
@@ -229,8 +233,8 @@
   DutyRecord updated = record;
   const bool finalised = finaliseWindows(facts, updated);
   if (!finalised && now - checkpointedAt_ < kCheckpointInterval) return DutySteps::Nothing{};
-  updated.counted = openWindowUsage(facts, updated);
-  if (!finalised && updated.counted == record.counted) return DutySteps::Nothing{};
+  updated.openUsage = openWindowUsage(facts, updated);
+  if (!finalised && updated.openUsage == record.openUsage) return DutySteps::Nothing{};
   // A holder that has just taken over may not have discovered all daemons yet.
   const bool settled = now - acquiredAt_ >= policy_.lease;
   updated.daemons = settled ? facts.known : std::max(record.daemons, facts.known);
@@ -239,7 +243,7 @@
   return DutySteps::Write{*pendingRecord_, stored_->revision};
 }
 
-void DutyKeeper::noteRead(const StoredDutyRecord& stored, Instant now) {
+void DutyStateMachine::noteRead(const StoredDutyRecord& stored, Instant now) {
   recordAbsent_ = false;
   unavailableSince_.reset();
   readAt_ = now;
@@ -253,7 +257,7 @@
   if (holdsDuties_) renewedAt_ = now;
 }
 
-void DutyKeeper::noteOutcome(DutyOutcome outcome, std::uint64_t revision, Instant now) {
+void DutyStateMachine::noteOutcome(DutyOutcome outcome, std::uint64_t revision, Instant now) {
   const std::optional<DutyRecord> pending = std::exchange(pendingRecord_, std::nullopt);
   const std::optional<std::int64_t> sending = std::exchange(pendingReport_, std::nullopt);
   const bool answered = outcome != DutyOutcome::unavailable && outcome != DutyOutcome::unknown;
--- a/Hallchute/src/Duty/DutyKeeper.h
+++ b/Hallchute/src/Duty/DutyStateMachine.h
@@ -1,8 +1,8 @@
 // This file is part of hallchute, a serving system for language models.
 // SPDX-License-Identifier: Apache-2.0
 
-#ifndef HALLCHUTE_DUTY_DUTYKEEPER_H
-#define HALLCHUTE_DUTY_DUTYKEEPER_H
+#ifndef HALLCHUTE_DUTY_DUTYSTATEMACHINE_H
+#define HALLCHUTE_DUTY_DUTYSTATEMACHINE_H
 
 #include <map>
 #include <optional>
@@ -27,14 +27,14 @@
   /// Daemons with a recent report and their incarnations. Includes this one unless it is stopping.
   std::map<DaemonId, std::uint64_t> heard;
   /// The holder with the highest epoch in any report.
-  DutyHolder named;
+  DutyHolder reportedHolder;
   /// Time since the store last answered any reachable daemon.
   Millis storeAge{0};
   /// Number of daemons that are expected to run, reachable or not, including this one.
   std::size_t known = 1;
   /// Whether this daemon has had time to discover the others. Until then it would consider itself
   /// the preferred candidate, without the counts of the others.
-  bool met = true;
+  bool fleetDiscovered = true;
   /// Whether all expected daemons have reported their own counts and those that they hold for
   /// stopped daemons.
   bool usageComplete = true;
@@ -56,9 +56,9 @@
 /// as the report's deadline allows. Counts of open windows are checkpointed in the record about
 /// once a second, in case all daemons stop at once. A holder that gets no answer from the store
 /// while the store answers others resigns, and a daemon that the store answers takes over.
-class DutyKeeper {
+class DutyStateMachine {
  public:
-  DutyKeeper(DutyPolicy policy, DaemonId self, std::uint64_t incarnation);
+  DutyStateMachine(DutyPolicy policy, DaemonId self, std::uint64_t incarnation);
 
   DutyStep next(const DutyFacts& facts, Instant now);
   void noteRead(const StoredDutyRecord& stored, Instant now);
@@ -69,7 +69,7 @@
   /// another daemon has used a higher epoch.
   void stepDown();
 
-  bool holds() const { return holdsDuties_; }
+  bool holdsDuties() const { return holdsDuties_; }
   /// \brief Whether the record was written or confirmed within \p time, so that acting needs no
   /// renewal.
   bool renewedWithin(Millis time, Instant now) const;
@@ -129,4 +129,4 @@
 
 }  // namespace Hallchute
 
-#endif  // HALLCHUTE_DUTY_DUTYKEEPER_H
+#endif  // HALLCHUTE_DUTY_DUTYSTATEMACHINE_H
--- a/Hallchute/src/Node/GatewayNode.cpp
+++ b/Hallchute/src/Node/GatewayNode.cpp
@@ -123,9 +123,9 @@
 }
 
 DutyHolder GatewayNode::namedHolder(Instant now) const {
-  DutyHolder named = duties_ ? duties_->holder() : DutyHolder{};
-  for (const FleetReport* report : fleet_.reports(now)) named.mergeNewer(report->duties);
-  return named;
+  DutyHolder reportedHolder = duties_ ? duties_->holder() : DutyHolder{};
+  for (const FleetReport* report : fleet_.reports(now)) reportedHolder.mergeNewer(report->duties);
+  return reportedHolder;
 }
 
 DutyInput GatewayNode::dutyInput() {
@@ -139,7 +139,7 @@
     DutyFacts& facts = input.facts;
     facts.wallClock = fleet_.clock().at(now);
     facts.known = fleet_.known(now);
-    facts.met = fleet_.discoveryComplete(now);
+    facts.fleetDiscovered = fleet_.discoveryComplete(now);
     facts.usageComplete = fleet_.usageComplete(now);
     facts.usage = fleet_.usageElsewhere(now);
     addUsage(facts.usage, local_.usage);
@@ -151,7 +151,7 @@
       const auto load = loads.find(record.id);
       if (load != loads.end()) input.load[record.service] += load->second.requests;
     }
-    facts.named = namedHolder(now);
+    facts.reportedHolder = namedHolder(now);
     facts.storeAge = copy_.age(now);
   });
   return input;
