--- a/Hallchute/src/Upstream/EngineHttp.cpp
+++ b/Hallchute/src/Upstream/EngineHttp.cpp
@@ -12,7 +12,7 @@
 namespace Hallchute {
 namespace {
 
-constexpr Millis kOrderLimit{2'000};
+constexpr Millis kControlCallTimeout{2'000};
 constexpr std::string_view kDataPrefix = "data: ";
 
 std::string generateBody(const GenerateRequest& request) {
@@ -29,7 +29,7 @@
   return jsonText(json);
 }
 
-std::string namedBody(const std::string& request, std::uint64_t epoch) {
+std::string requestIdBody(const std::string& request, std::uint64_t epoch) {
   JsonObject json = new Poco::JSON::Object;
   json->set("request", request);
   json->set("epoch", epoch);
@@ -82,11 +82,11 @@
   HttpExchange exchange({address_, source_, connectLimit_, stallLimit});
   HttpCall call{"POST", "/v1/generate", "application/json", generateBody(request), {}};
   const HttpResult result = exchange.open(call);
-  if (const auto* never = std::get_if<HttpNeverSent>(&result)) {
-    return {StreamEnd::connectFailed, never->detail, Millis(0)};
+  if (const auto* notSent = std::get_if<HttpNeverSent>(&result)) {
+    return {StreamEnd::connectFailed, notSent->detail, Millis(0)};
   }
-  if (const auto* maybe = std::get_if<HttpMaybeSent>(&result)) {
-    return {StreamEnd::broke, maybe->detail, Millis(0)};
+  if (const auto* maybeSent = std::get_if<HttpMaybeSent>(&result)) {
+    return {StreamEnd::broke, maybeSent->detail, Millis(0)};
   }
   const auto& answer = std::get<HttpAnswer>(result);
   if (answer.status != 200) return refusedResult(answer);
@@ -94,20 +94,20 @@
 }
 
 void EngineHttp::cancel(const std::string& request, std::uint64_t epoch) {
-  HttpExchange exchange({address_, source_, connectLimit_, kOrderLimit});
-  exchange.run({"POST", "/v1/cancel", "application/json", namedBody(request, epoch), {}});
+  HttpExchange exchange({address_, source_, connectLimit_, kControlCallTimeout});
+  exchange.run({"POST", "/v1/cancel", "application/json", requestIdBody(request, epoch), {}});
 }
 
 std::string EngineHttp::exportCache(const std::string& request, std::uint64_t epoch) {
-  HttpExchange exchange({address_, source_, connectLimit_, kOrderLimit});
-  const HttpResult result =
-      exchange.run({"POST", "/v1/cache/export", "application/json", namedBody(request, epoch), {}});
+  HttpExchange exchange({address_, source_, connectLimit_, kControlCallTimeout});
+  const HttpResult result = exchange.run(
+      {"POST", "/v1/cache/export", "application/json", requestIdBody(request, epoch), {}});
   const auto* answer = std::get_if<HttpAnswer>(&result);
   return answer != nullptr && answer->status == 200 ? answer->body : std::string();
 }
 
 std::string EngineHttp::importCache(const std::string& cache) {
-  HttpExchange exchange({address_, source_, connectLimit_, kOrderLimit});
+  HttpExchange exchange({address_, source_, connectLimit_, kControlCallTimeout});
   const HttpResult result =
       exchange.run({"POST", "/v1/cache/import", "application/octet-stream", cache, {}});
   const auto* answer = std::get_if<HttpAnswer>(&result);
--- a/Hallchute/src/Upstream/EngineHttp.h
+++ b/Hallchute/src/Upstream/EngineHttp.h
@@ -10,7 +10,7 @@
 
 namespace Hallchute {
 
-/// \brief A model engine over HTTP with server-sent events; docs/API.md describes it.
+/// \brief HTTP client of a model engine that streams server-sent events; see docs/API.md.
 /// \ingroup Upstream
 class EngineHttp final : public EnginePort {
  public:
--- a/Hallchute/src/Upstream/PlainServiceHttp.cpp
+++ b/Hallchute/src/Upstream/PlainServiceHttp.cpp
@@ -16,13 +16,17 @@
   const HttpResult result = exchange.run(
       {request.method, request.target, request.contentType, request.body, request.headers});
   return std::visit(
-      Overloaded{
-          [](const HttpAnswer& answer) -> PlainResult {
-            const bool leaving = answer.status == 503 && !answer.header("Service-Leaving").empty();
-            return PlainAnswer{answer.status, answer.contentType, answer.body, leaving};
-          },
-          [](const HttpNeverSent& never) -> PlainResult { return PlainNeverSent{never.detail}; },
-          [](const HttpMaybeSent& maybe) -> PlainResult { return PlainMaybeSent{maybe.detail}; }},
+      Overloaded{[](const HttpAnswer& answer) -> PlainResult {
+                   const bool leaving =
+                       answer.status == 503 && !answer.header("Service-Leaving").empty();
+                   return PlainAnswer{answer.status, answer.contentType, answer.body, leaving};
+                 },
+                 [](const HttpNeverSent& notSent) -> PlainResult {
+                   return PlainNeverSent{notSent.detail};
+                 },
+                 [](const HttpMaybeSent& maybeSent) -> PlainResult {
+                   return PlainMaybeSent{maybeSent.detail};
+                 }},
       result);
 }
 
--- a/Hallchute/src/Upstream/PlainServiceHttp.h
+++ b/Hallchute/src/Upstream/PlainServiceHttp.h
@@ -10,11 +10,12 @@
 
 namespace Hallchute {
 
-/// \brief A plain service over HTTP.
+/// \brief HTTP client of a plain service.
 /// \ingroup Upstream
 ///
-/// An answer counts as whole only if its Content-Length was met. A service that leaves answers 503
-/// with `Service-Leaving`: it promises that the request did not run.
+/// A response is complete only if its body has the length given by Content-Length. A leaving
+/// service responds with 503 and `Service-Leaving`, which guarantees that the request was not
+/// executed.
 class PlainServiceHttp final : public PlainServicePort {
  public:
   PlainServiceHttp(std::string address, std::string source, Millis connectLimit);
--- a/Hallchute/src/Upstream/UpstreamChannel.cpp
+++ b/Hallchute/src/Upstream/UpstreamChannel.cpp
@@ -13,15 +13,15 @@
 namespace Hallchute {
 namespace {
 
-/// An answer's head and body may be larger than a caller's: nothing bounds them but memory.
+/// Responses may be larger than callers' requests: these limits only bound the memory use.
 constexpr HttpReaderLimits kAnswerLimits{64U << 10U, 64U << 20U};
 constexpr int kFirstFinalStatus = 200;
-/// Longer than a packet takes that is lost twice and sent again (after 0.2 and 0.6 s): a third loss
-/// of the same one is rarer than a cut.
-constexpr Millis kUnacknowledged{1'500};
+/// Longer than two retransmissions of a lost packet take (after 0.2 and 0.6 s): a third loss of the
+/// same packet is rarer than a network partition.
+constexpr Millis kAcknowledgementTimeout{1'500};
 
-/// The seconds of a `Keep-Alive: timeout=N` field; zero if there are none.
-Millis announcedIdleOf(const HttpFields& fields) {
+/// The timeout of a `Keep-Alive: timeout=N` field, with N in seconds; zero if there is none.
+Millis keepAliveTimeoutOf(const HttpFields& fields) {
   const std::string_view value = fields.get("Keep-Alive");
   for (const absl::string_view part :
        absl::StrSplit(absl::string_view(value.data(), value.size()), absl::ByAnyChar(",; "))) {
@@ -38,13 +38,13 @@
 
 UpstreamChannel::UpstreamChannel(EventLoop& loop, const std::string& address,
                                  const std::string& source, Millis connectLimit)
-    : loop_(loop), channel_(loop, address, source, connectLimit, *this), reader_(freshReader()) {}
+    : loop_(loop), channel_(loop, address, source, connectLimit, *this), reader_(newReader()) {}
 
 UpstreamChannel::~UpstreamChannel() {
-  stopAwaiting();
+  cancelAcknowledgementTimer();
 }
 
-HttpReader UpstreamChannel::freshReader() {
+HttpReader UpstreamChannel::newReader() {
   return {HttpSide::answers, kAnswerLimits};
 }
 
@@ -52,87 +52,88 @@
                             UpstreamListener& listener) {
   listener_ = &listener;
   answerHasNoBody_ = answerHasNoBody;
-  reader_ = freshReader();
+  reader_ = newReader();
   if (answerHasNoBody_) reader_.expectNoBody();
-  headTaken_ = false;
+  headReceived_ = false;
   discarding_ = false;
-  sentBefore_ = channel_.sentBytes();
+  sentBytesAtStart_ = channel_.sentBytes();
   channel_.send(request);
   awaitAcknowledgement(request.size());
 }
 
-/// Resets the connection if a period passes without the upstream's host taking anything.
+/// Fails the exchange and resets the connection if the upstream's host acknowledges no data for
+/// kAcknowledgementTimeout.
 void UpstreamChannel::awaitAcknowledgement(std::size_t unacknowledgedBefore) {
-  acknowledgementTimer_ = loop_.after(kUnacknowledged, [this, unacknowledgedBefore] {
+  acknowledgementTimer_ = loop_.after(kAcknowledgementTimeout, [this, unacknowledgedBefore] {
     acknowledgementTimer_ = 0;
     const std::size_t left = channel_.unacknowledged();
     if (left == 0) return;
     if (left < unacknowledgedBefore) {
       awaitAcknowledgement(left);
     } else {
-      fail(channel_.sentBytes() > sentBefore_);
+      fail(channel_.sentBytes() > sentBytesAtStart_);
     }
   });
 }
 
-void UpstreamChannel::stopAwaiting() {
+void UpstreamChannel::cancelAcknowledgementTimer() {
   loop_.cancel(std::exchange(acknowledgementTimer_, 0));
 }
 
 void UpstreamChannel::abort() {
-  stopAwaiting();
+  cancelAcknowledgementTimer();
   listener_ = nullptr;
-  sound_ = false;
+  usable_ = false;
   channel_.abort();
 }
 
 bool UpstreamChannel::reusable() const {
-  return sound_ && listener_ == nullptr && in_.empty() && channel_.unsent() == 0;
+  return usable_ && listener_ == nullptr && input_.empty() && channel_.unsent() == 0;
 }
 
 void UpstreamChannel::channelBytes(std::string_view bytes) {
   if (listener_ == nullptr) {
-    // Bytes that no request asked for: whatever comes next here can't be trusted.
-    sound_ = false;
-    if (onIdleEnd) onIdleEnd();
+    // Data without a request: a later response on this connection can't be matched reliably.
+    usable_ = false;
+    if (onIdleClosed) onIdleClosed();
     return;
   }
-  in_.append(bytes);
+  input_.append(bytes);
   readAnswer();
 }
 
 void UpstreamChannel::readAnswer() {
-  while (listener_ != nullptr && !in_.empty()) {
-    const HttpProgress progress = reader_.read(in_);
+  while (listener_ != nullptr && !input_.empty()) {
+    const HttpProgress progress = reader_.read(input_);
     if (progress != HttpProgress::needsMore && progress != HttpProgress::complete) {
       fail(true);
       return;
     }
-    if (reader_.hasHead() && !headTaken_ && !takeHead()) continue;
-    passBody();
+    if (reader_.hasHead() && !headReceived_ && !handleHead()) continue;
+    forwardBody();
     if (progress == HttpProgress::needsMore) return;
     finish();
   }
 }
 
-/// \returns false if the message is done with and the next one is due.
-bool UpstreamChannel::takeHead() {
+/// \returns false for an interim (1xx) response, after which the next message is read.
+bool UpstreamChannel::handleHead() {
   const HttpHead& head = reader_.head();
   if (head.status < kFirstFinalStatus) {
-    reader_ = freshReader();
+    reader_ = newReader();
     if (answerHasNoBody_) reader_.expectNoBody();
     return false;
   }
-  headTaken_ = true;
-  if (!head.keepAlive) sound_ = false;
-  announcedIdle_ = announcedIdleOf(head.fields);
+  headReceived_ = true;
+  if (!head.keepAlive) usable_ = false;
+  keepAliveTimeout_ = keepAliveTimeoutOf(head.fields);
   if (listener_->upstreamHead(head)) return true;
   discarding_ = true;
-  sound_ = false;
+  usable_ = false;
   return true;
 }
 
-void UpstreamChannel::passBody() {
+void UpstreamChannel::forwardBody() {
   const std::string body = reader_.takeBody();
   if (!discarding_ && !body.empty() && listener_ != nullptr) listener_->upstreamBody(body);
 }
@@ -140,39 +141,39 @@
 void UpstreamChannel::finish() {
   if (discarding_) {
     discarding_ = false;
-    headTaken_ = false;
-    reader_ = freshReader();
+    headReceived_ = false;
+    reader_ = newReader();
     return;
   }
-  stopAwaiting();
+  cancelAcknowledgementTimer();
   UpstreamListener* listener = std::exchange(listener_, nullptr);
-  // Surplus bytes belong to no request.
-  if (!in_.empty()) sound_ = false;
+  // Data after the response belongs to no request.
+  if (!input_.empty()) usable_ = false;
   if (listener != nullptr) listener->upstreamDone();
 }
 
 void UpstreamChannel::fail(bool sent) {
-  stopAwaiting();
-  sound_ = false;
+  cancelAcknowledgementTimer();
+  usable_ = false;
   UpstreamListener* listener = std::exchange(listener_, nullptr);
   channel_.abort();
   if (listener != nullptr) listener->upstreamFailed(sent);
 }
 
 void UpstreamChannel::channelEnded(ChannelEnd end) {
-  stopAwaiting();
-  sound_ = false;
+  cancelAcknowledgementTimer();
+  usable_ = false;
   if (listener_ == nullptr) {
-    if (onIdleEnd) onIdleEnd();
+    if (onIdleClosed) onIdleClosed();
     return;
   }
-  const bool endsMessage = end == ChannelEnd::finished && headTaken_ && !discarding_ &&
+  const bool endsMessage = end == ChannelEnd::finished && headReceived_ && !discarding_ &&
                            reader_.end() == HttpProgress::complete;
   if (endsMessage) {
     finish();
     return;
   }
-  fail(end != ChannelEnd::notConnected && channel_.sentBytes() > sentBefore_);
+  fail(end != ChannelEnd::notConnected && channel_.sentBytes() > sentBytesAtStart_);
 }
 
 }  // namespace Hallchute
--- a/Hallchute/src/Upstream/UpstreamChannel.h
+++ b/Hallchute/src/Upstream/UpstreamChannel.h
@@ -15,7 +15,7 @@
 
 namespace Hallchute {
 
-/// \brief Told what comes back from an upstream. \ingroup Upstream
+/// \brief Receives the response of an upstream. \ingroup Upstream
 class UpstreamListener {
  public:
   UpstreamListener() = default;
@@ -23,20 +23,22 @@
   UpstreamListener& operator=(const UpstreamListener&) = delete;
   virtual ~UpstreamListener() = default;
 
-  /// \returns false if the answer belongs to another request: it is read and thrown away.
+  /// \returns false if the response belongs to another request: it is read and discarded.
   virtual bool upstreamHead(const HttpHead& head) = 0;
   virtual void upstreamBody(std::string_view bytes) = 0;
-  /// \brief The whole answer came. The channel is free afterwards.
+  /// \brief The response is complete and the channel is free.
   virtual void upstreamDone() = 0;
-  /// \brief No whole answer comes. \param sent whether the request may have arrived.
+  /// \brief The exchange failed before the response was complete.
+  /// \param sent whether the request may have arrived.
   virtual void upstreamFailed(bool sent) = 0;
 };
 
-/// \brief A kept connection to an upstream with one exchange at a time. Traffic thread only.
+/// \brief A persistent connection to an upstream with one exchange at a time. Traffic thread only.
 /// \ingroup Upstream
 ///
-/// A request that the upstream's host doesn't acknowledge in time is given up and the connection
-/// reset: a cut may hold it up, and it must not arrive when the cut has healed.
+/// If the upstream's host doesn't acknowledge a request in time, the exchange fails and the
+/// connection is reset: during a network partition the request may be queued, and must not arrive
+/// once the partition ends.
 class UpstreamChannel final : public TcpChannelOwner {
  public:
   UpstreamChannel(EventLoop& loop, const std::string& address, const std::string& source,
@@ -45,46 +47,46 @@
   UpstreamChannel(const UpstreamChannel&) = delete;
   UpstreamChannel& operator=(const UpstreamChannel&) = delete;
 
-  /// \brief Sends a request; \p listener is told what comes of it.
+  /// \brief Sends a request; \p listener receives the response.
   void start(std::string_view request, bool answerHasNoBody, UpstreamListener& listener);
-  /// \brief Ends the exchange at once; the listener hears nothing more.
+  /// \brief Resets the connection; the listener isn't called again.
   void abort();
-  /// \brief Whether a further request may go out on this connection.
+  /// \brief Whether this connection can carry another request.
   bool reusable() const;
-  /// \brief Whether the kernel has heard nothing from the other side, not even its end.
+  /// \brief Whether the kernel has received neither data nor a close from the peer.
   bool quiet() const { return channel_.quiet(); }
-  /// \brief Whether all of the request is known to have arrived at the upstream's host.
+  /// \brief Whether the upstream's host has acknowledged the whole request.
   bool delivered() const { return channel_.acknowledged(); }
-  /// \brief Called when the other side ends the connection, or sends something, between exchanges.
-  std::function<void()> onIdleEnd;
-  /// \brief How long the upstream says that it keeps an idle connection; zero if it doesn't say.
-  Millis announcedIdle() const { return announcedIdle_; }
+  /// \brief Called when the peer closes the connection, or sends data, between exchanges.
+  std::function<void()> onIdleClosed;
+  /// \brief The timeout in the upstream's `Keep-Alive` field; zero if it sent none.
+  Millis keepAliveTimeout() const { return keepAliveTimeout_; }
 
   void channelBytes(std::string_view bytes) override;
   void channelEnded(ChannelEnd end) override;
 
  private:
-  static HttpReader freshReader();
+  static HttpReader newReader();
   void readAnswer();
-  bool takeHead();
-  void passBody();
+  bool handleHead();
+  void forwardBody();
   void finish();
   void fail(bool sent);
   void awaitAcknowledgement(std::size_t unacknowledgedBefore);
-  void stopAwaiting();
+  void cancelAcknowledgementTimer();
 
   EventLoop& loop_;
   TcpChannel channel_;
   std::uint64_t acknowledgementTimer_ = 0;
   HttpReader reader_;
-  std::string in_;
+  std::string input_;
   UpstreamListener* listener_ = nullptr;
-  std::uint64_t sentBefore_ = 0;
+  std::uint64_t sentBytesAtStart_ = 0;
   bool answerHasNoBody_ = false;
-  bool headTaken_ = false;
+  bool headReceived_ = false;
   bool discarding_ = false;
-  bool sound_ = true;
-  Millis announcedIdle_{0};
+  bool usable_ = true;
+  Millis keepAliveTimeout_{0};
 };
 
 }  // namespace Hallchute
--- a/Hallchute/src/Upstream/UpstreamPool.cpp
+++ b/Hallchute/src/Upstream/UpstreamPool.cpp
@@ -13,24 +13,24 @@
 namespace Hallchute {
 namespace {
 
-/// Within a failure domain a connection takes well under a millisecond, between domains a few;
-/// one that takes longer leads to a host that is gone or behind a cut.
+/// Connecting takes well under a millisecond within a failure domain and a few between domains. If
+/// it takes longer, the host is gone or behind a network partition.
 constexpr Millis kConnectLimit{120};
-/// What is left of the announced idle time when a connection counts as no longer sure.
-constexpr Millis kIdleMargin{300};
-/// How long a connection counts as sure where the upstream announced no idle time.
-constexpr Millis kSureUnannounced{1'000};
-/// How long an idle connection is kept where the upstream announced no idle time.
-constexpr Millis kKeepUnannounced{15'000};
-
-Millis sureFor(const UpstreamChannel& channel) {
-  const Millis announced = channel.announcedIdle();
-  return announced > Millis(0) ? announced - kIdleMargin : kSureUnannounced;
+/// A connection isn't reused within this time before the upstream's keep-alive timeout.
+constexpr Millis kKeepAliveMargin{300};
+/// How long an idle connection is safe to reuse if the upstream sent no keep-alive timeout.
+constexpr Millis kDefaultSafeReuseTime{1'000};
+/// How long an idle connection is kept if the upstream sent no keep-alive timeout.
+constexpr Millis kDefaultKeepTime{15'000};
+
+Millis safeReuseTime(const UpstreamChannel& channel) {
+  const Millis announced = channel.keepAliveTimeout();
+  return announced > Millis(0) ? announced - kKeepAliveMargin : kDefaultSafeReuseTime;
 }
 
-Millis keptFor(const UpstreamChannel& channel) {
-  const Millis announced = channel.announcedIdle();
-  return announced > Millis(0) ? announced - kIdleMargin : kKeepUnannounced;
+Millis keepTime(const UpstreamChannel& channel) {
+  const Millis announced = channel.keepAliveTimeout();
+  return announced > Millis(0) ? announced - kKeepAliveMargin : kDefaultKeepTime;
 }
 
 }  // namespace
@@ -41,24 +41,24 @@
 UpstreamPool::~UpstreamPool() = default;
 
 std::unique_ptr<UpstreamChannel> UpstreamPool::take(const UpstreamId& upstream,
-                                                    const std::string& address, ChannelCare care,
-                                                    std::size_t most, Instant now) {
+                                                    const std::string& address, ChannelCare reuse,
+                                                    std::size_t maxOpen, Instant now) {
   Entry& entry = entries_[upstream];
-  // The most recently used one is the surest.
+  // The most recently used connection is the least likely to have been closed by the upstream.
   while (!entry.idle.empty()) {
     Idle idle = std::move(entry.idle.back());
     entry.idle.pop_back();
     const Millis limit =
-        care == ChannelCare::sure ? sureFor(*idle.channel) : keptFor(*idle.channel);
-    if (now - idle.since < limit && idle.channel->quiet()) {
-      idle.channel->onIdleEnd = nullptr;
+        reuse == ChannelCare::sure ? safeReuseTime(*idle.channel) : keepTime(*idle.channel);
+    if (now - idle.idleSince < limit && idle.channel->quiet()) {
+      idle.channel->onIdleClosed = nullptr;
       return std::move(idle.channel);
     }
     --entry.open;
     idle.channel->abort();
-    destroy(std::move(idle.channel));
+    destroyDeferred(std::move(idle.channel));
   }
-  if (entry.open >= most) return nullptr;
+  if (entry.open >= maxOpen) return nullptr;
   ++entry.open;
   metrics_.add("hallchute_upstream_connections_total", "");
   return std::make_unique<UpstreamChannel>(loop_, address, source_, kConnectLimit);
@@ -71,8 +71,8 @@
     discard(upstream, std::move(channel));
     return;
   }
-  channel->onIdleEnd = [this, upstream, raw = channel.get()] {
-    // A copy: the callback that holds the name is dropped within.
+  channel->onIdleClosed = [this, upstream, raw = channel.get()] {
+    // Copies the ID, as dropIdle() destroys this callback, which owns it.
     dropIdle(UpstreamId(upstream), raw);
   };
   it->second.idle.push_back({std::move(channel), now});
@@ -80,7 +80,7 @@
 
 void UpstreamPool::discard(const UpstreamId& upstream, std::unique_ptr<UpstreamChannel> channel) {
   channel->abort();
-  destroy(std::move(channel));
+  destroyDeferred(std::move(channel));
   const auto it = entries_.find(upstream);
   if (it == entries_.end()) return;
   if (it->second.open > 0) --it->second.open;
@@ -104,8 +104,8 @@
   if (it != entries_.end() && it->second.open == 0 && it->second.idle.empty()) entries_.erase(it);
 }
 
-void UpstreamPool::destroy(std::unique_ptr<UpstreamChannel> channel) {
-  // The call may come out of a callback of that very channel, which lives until the next turn.
+void UpstreamPool::destroyDeferred(std::unique_ptr<UpstreamChannel> channel) {
+  // A callback of this channel may be the caller, so it is destroyed in the loop's next iteration.
   const std::shared_ptr<UpstreamChannel> gone = std::move(channel);
   loop_.post([gone] {});
 }
@@ -120,15 +120,15 @@
 }
 
 void UpstreamPool::sweep(Instant now) {
-  std::vector<std::pair<UpstreamId, std::unique_ptr<UpstreamChannel>>> old;
+  std::vector<std::pair<UpstreamId, std::unique_ptr<UpstreamChannel>>> expired;
   for (auto& [upstream, entry] : entries_) {
     for (Idle& idle : entry.idle) {
-      if (now - idle.since < keptFor(*idle.channel)) continue;
-      old.emplace_back(upstream, std::move(idle.channel));
+      if (now - idle.idleSince < keepTime(*idle.channel)) continue;
+      expired.emplace_back(upstream, std::move(idle.channel));
     }
     std::erase_if(entry.idle, [](const Idle& idle) { return idle.channel == nullptr; });
   }
-  for (auto& [upstream, channel] : old) discard(upstream, std::move(channel));
+  for (auto& [upstream, channel] : expired) discard(upstream, std::move(channel));
 }
 
 }  // namespace Hallchute
--- a/Hallchute/src/Upstream/UpstreamPool.h
+++ b/Hallchute/src/Upstream/UpstreamPool.h
@@ -19,18 +19,19 @@
 class Metrics;
 class UpstreamChannel;
 
-/// \brief How sure a connection must be to be still open. \ingroup Upstream
+/// \brief Which idle connections a request may reuse. \ingroup Upstream
 enum class ChannelCare {
-  /// The request may go out again if the connection turns out to be closed.
+  /// Any that is still kept: the request can be retried if the upstream has closed the connection.
   any,
-  /// It must not: a kept connection close to the end of its idle time is passed over.
+  /// Only one that is not close to its idle timeout: the request must not be retried.
   sure,
 };
 
-/// \brief Kept connections to upstreams. Traffic thread only.
+/// \brief A pool of persistent connections to upstreams. Traffic thread only.
 /// \ingroup Upstream
 ///
-/// A connection belongs to one upstream's lifetime: a new one at the same address shares none.
+/// Connections are keyed by upstream, not by address: a new upstream at the same address shares
+/// none.
 class UpstreamPool {
  public:
   UpstreamPool(EventLoop& loop, std::string source, Metrics& metrics);
@@ -38,29 +39,29 @@
   UpstreamPool(const UpstreamPool&) = delete;
   UpstreamPool& operator=(const UpstreamPool&) = delete;
 
-  /// \brief A free connection, or a new one; null if \p most are open and none is free.
+  /// \brief Returns an idle connection or a new one; null if \p maxOpen are open and none is idle.
   std::unique_ptr<UpstreamChannel> take(const UpstreamId& upstream, const std::string& address,
-                                        ChannelCare care, std::size_t most, Instant now);
-  /// \brief Takes a connection back after an exchange; one that can't be used again is closed.
+                                        ChannelCare reuse, std::size_t maxOpen, Instant now);
+  /// \brief Returns a connection to the pool after an exchange; closes it if it isn't reusable.
   void giveBack(const UpstreamId& upstream, std::unique_ptr<UpstreamChannel> channel, Instant now);
-  /// \brief Ends the exchange on a connection at once.
+  /// \brief Resets a connection and removes it from the pool.
   void discard(const UpstreamId& upstream, std::unique_ptr<UpstreamChannel> channel);
-  /// \brief Closes the idle connections of an upstream that is gone.
+  /// \brief Closes the idle connections of an upstream that was removed.
   void forget(const UpstreamId& upstream);
-  /// \brief Closes connections that rested for too long.
+  /// \brief Closes connections that have been idle for too long.
   void sweep(Instant now);
 
  private:
   struct Idle {
     std::unique_ptr<UpstreamChannel> channel;
-    Instant since;
+    Instant idleSince;
   };
   struct Entry {
     std::vector<Idle> idle;
     std::size_t open = 0;
   };
 
-  void destroy(std::unique_ptr<UpstreamChannel> channel);
+  void destroyDeferred(std::unique_ptr<UpstreamChannel> channel);
   void dropIdle(const UpstreamId& upstream, const UpstreamChannel* channel);
   void eraseIfEmpty(const UpstreamId& upstream);
 
