--- a/Hallchute/src/Node/DutyRunner.cpp
+++ b/Hallchute/src/Node/DutyRunner.cpp
@@ -13,11 +13,13 @@
 namespace Hallchute {
 namespace {
 
-/// Orders follow a reclaim within this, which is little beside a replica's boot.
-constexpr Millis kTurnPeriod{250};
+/// Bounds the delay from a reclaim to the order of a replacement; short compared with a replica's
+/// boot time.
+constexpr Millis kPollPeriod{250};
 
-/// How often a starting daemon asks the store for the fleet's size: later the others are met.
-constexpr int kSizeReads = 2;
+/// Attempts of a starting daemon to read the fleet's size from the store: after that it has
+/// discovered the other daemons.
+constexpr int kMaxSizeReads = 2;
 
 /// The epoch of a deployment's first holder.
 constexpr std::uint64_t kFirstEpoch = 1;
@@ -77,17 +79,18 @@
   return holder_;
 }
 
-void DutyRunner::noteHolder() {
+void DutyRunner::updateHolder() {
   const bool holds = keeper_.holds();
-  if (holds != held_) {
-    held_ = holds;
+  if (holds != wasHolder_) {
+    wasHolder_ = holds;
     LogLine(LogLevel::info, holds ? "duty.taken" : "duty.left")
         .with("epoch", keeper_.holder().epoch);
   }
-  // A holder that lost a write's answer and found it done goes on with what it ordered.
-  if (holds && heldEpoch_ != keeper_.holder().epoch) {
-    heldEpoch_ = keeper_.holder().epoch;
-    planner_.startOver(heldEpoch_ > kFirstEpoch);
+  // The epoch is unchanged if the holder missed the response to a write and later found it done:
+  // its planner keeps its orders.
+  if (holds && lastHeldEpoch_ != keeper_.holder().epoch) {
+    lastHeldEpoch_ = keeper_.holder().epoch;
+    planner_.startOver(lastHeldEpoch_ > kFirstEpoch);
   }
   const std::lock_guard lock(mutex_);
   const DutyHolder known = keeper_.holder();
@@ -96,7 +99,7 @@
 
 bool DutyRunner::readEarlierSize() {
   const absl::StatusOr<StoredDutyRecord> stored = port_.read(ReadAge::maybeOld);
-  if (stored.ok()) callbacks_.earlierSize(stored->record.daemons);
+  if (stored.ok()) callbacks_.onEarlierSize(stored->record.daemons);
   const bool answered = stored.ok() || absl::IsNotFound(stored.status());
   LogLine(LogLevel::info, "fleet.earlierSize")
       .with("daemons", static_cast<std::uint64_t>(stored.ok() ? stored->record.daemons : 0))
@@ -107,23 +110,23 @@
 
 void DutyRunner::run() {
   bool sizeRead = false;
-  for (int i = 0; i < kSizeReads && !sizeRead && !stopping_; ++i) sizeRead = readEarlierSize();
+  for (int i = 0; i < kMaxSizeReads && !sizeRead && !stopping_; ++i) sizeRead = readEarlierSize();
   while (!stopping_) {
-    turn();
-    std::this_thread::sleep_for(kTurnPeriod);
+    runOnce();
+    std::this_thread::sleep_for(kPollPeriod);
   }
 }
 
-void DutyRunner::turn() {
+void DutyRunner::runOnce() {
   const DutyInput input = callbacks_.input();
   if (input.leaving) {
     if (keeper_.holds()) release(input.facts);
-    noteHolder();
+    updateHolder();
     return;
   }
   const DutyStep step = keeper_.next(input.facts, clockNow());
   std::visit([&](const auto& s) { perform(s, input); }, step);
-  noteHolder();
+  updateHolder();
 }
 
 void DutyRunner::release(const DutyFacts& facts) {
@@ -133,7 +136,7 @@
       .with("epoch", write.record.holder.epoch)
       .with("ok", revision.ok())
       .with("detail", messageOf(revision.status()));
-  // The next turn tries again.
+  // Retried in the next iteration.
   if (absl::IsUnavailable(revision.status())) return;
   keeper_.stepDown();
 }
@@ -178,8 +181,8 @@
   keeper_.noteOutcome(outcomeOf(status), 0, clockNow());
 }
 
-/// Counts that came after a window's report was fixed are missing in it: the line tells a late word
-/// from one that never came.
+/// Logs counts that arrived after a window's report was finalised and are missing in it, so that
+/// late reports can be told from lost ones.
 void DutyRunner::logLateCounts(const DutyFacts& facts) const {
   if (!lastReported_) return;
   const auto counts = facts.usage.find(lastReported_->window);
@@ -191,7 +194,7 @@
       .with("known", known);
 }
 
-void DutyRunner::logNeeds(const CapacityView& view) {
+void DutyRunner::logReplicaNeeds(const CapacityView& view) {
   for (const GatewayService& service : view.services) {
     const std::uint32_t need = planner_.need(service.name);
     std::uint32_t& logged = loggedNeeds_[service.name];
@@ -210,9 +213,9 @@
 void DutyRunner::orderReplicas(const DutyInput& input) {
   const CapacityView view{input.services, input.upstreams, input.load, input.quotaTokens};
   const std::vector<ReplicaOrder> orders = planner_.plan(view, clockNow());
-  logNeeds(view);
+  logReplicaNeeds(view);
   for (const ReplicaOrder& order : orders) {
-    // A holder that slept must not order by what it knew before.
+    // A holder whose process was suspended must not place orders from stale state.
     if (!keeper_.renewedWithin(options_.policy.window + options_.policy.lease, clockNow())) {
       perform(std::get<DutySteps::Write>(keeper_.renewal()), input);
       return;
--- a/Hallchute/src/Node/DutyRunner.h
+++ b/Hallchute/src/Node/DutyRunner.h
@@ -22,7 +22,7 @@
 class DutyPort;
 class Metrics;
 
-/// \brief What the duties are decided from. \ingroup Node
+/// \brief The state from which the duties are planned. \ingroup Node
 struct DutyInput {
   DutyFacts facts;
   std::vector<GatewayService> services;
@@ -32,22 +32,22 @@
   bool leaving = false;
 };
 
-/// \brief Which duties a deployment has. \ingroup Node
+/// \brief The duties that a deployment has, and their timing. \ingroup Node
 struct DutyRunnerOptions {
   DutyPolicy policy;
   bool ordersReplicas = false;
 };
 
-/// \brief Carries out what DutyKeeper and ReplicaPlanner decide, on a thread of its own: the
-/// platform's calls block. \ingroup Node
+/// \brief Carries out the steps of DutyKeeper and the orders of ReplicaPlanner, on its own thread
+/// because the calls to the platform block. \ingroup Node
 class DutyRunner {
  public:
-  /// What the runner asks and tells, from its own thread.
+  /// Called from the runner's thread.
   struct Callbacks {
-    /// Asked at each turn.
+    /// Returns the current input; called in each iteration.
     std::function<DutyInput()> input;
-    /// How many daemons the fleet had before this one began.
-    std::function<void(std::size_t)> earlierSize;
+    /// Reports how many daemons the fleet had before this one started, as the store records it.
+    std::function<void(std::size_t)> onEarlierSize;
   };
 
   DutyRunner(DutyPort& port, DutyRunnerOptions options, FleetMember self, Callbacks callbacks,
@@ -58,20 +58,20 @@
 
   void start();
   void stop();
-  /// \brief The holder as this daemon knows it; epoch 0 if it knows none. Any thread.
+  /// \brief The holder known to this daemon; epoch 0 if none is known. Any thread.
   DutyHolder holder() const;
 
  private:
-  /// The sum of a window's report as it was fixed.
+  /// The total of a window's usage report as it was sent.
   struct ReportedWindow {
     std::int64_t window = 0;
     std::uint64_t requests = 0;
   };
 
   void run();
-  void turn();
+  void runOnce();
   void release(const DutyFacts& facts);
-  /// \returns whether the store answered.
+  /// \returns whether the store responded.
   bool readEarlierSize();
   void perform(const DutySteps::Nothing& step, const DutyInput& input);
   void perform(const DutySteps::Read& step, const DutyInput& input);
@@ -80,8 +80,8 @@
   void perform(const DutySteps::SendUsage& step, const DutyInput& input);
   void logLateCounts(const DutyFacts& facts) const;
   void orderReplicas(const DutyInput& input);
-  void logNeeds(const CapacityView& view);
-  void noteHolder();
+  void logReplicaNeeds(const CapacityView& view);
+  void updateHolder();
 
   DutyPort& port_;
   DutyRunnerOptions options_;
@@ -90,12 +90,12 @@
   Metrics& metrics_;
   DutyKeeper keeper_;
   ReplicaPlanner planner_;
-  /// What was last logged of each service's need.
+  /// Number of replicas needed by each service, as last logged.
   std::map<ServiceName, std::uint32_t> loggedNeeds_;
   std::optional<ReportedWindow> lastReported_;
-  bool held_ = false;
+  bool wasHolder_ = false;
   /// The last epoch under which this daemon held the duties.
-  std::uint64_t heldEpoch_ = 0;
+  std::uint64_t lastHeldEpoch_ = 0;
   mutable std::mutex mutex_;
   DutyHolder holder_;
   std::atomic<bool> stopping_{false};
--- a/Hallchute/src/Node/FleetLink.cpp
+++ b/Hallchute/src/Node/FleetLink.cpp
@@ -32,12 +32,12 @@
     };
   });
   transport_.serve(kSnapshotPath, [this](const PeerStreamPtr& stream) {
-    // The stream lives in the transport until it closes: a strong reference would keep itself.
+    // The transport owns the stream until it closes; a strong reference would be a cycle.
     stream->onMessage = [this, weak = std::weak_ptr(stream)](std::string_view message) {
       const PeerStreamPtr open = weak.lock();
-      const auto ask = unpack<SnapshotAsk>(message);
-      if (!open || !ask) return;
-      open->send(pack(callbacks_.snapshot(*ask)));
+      const auto request = unpack<SnapshotRequest>(message);
+      if (!open || !request) return;
+      open->send(pack(callbacks_.snapshot(*request)));
       open->finish();
     };
   });
@@ -45,8 +45,8 @@
 
 FleetLink::~FleetLink() = default;
 
-void FleetLink::push(const std::vector<AddressedReport>& reports) {
-  std::map<std::string, PeerStreamPtr> kept;
+void FleetLink::sendReports(const std::vector<AddressedReport>& reports) {
+  std::map<std::string, PeerStreamPtr> openStreams;
   for (const AddressedReport& addressed : reports) {
     const std::string message = pack(addressed.report);
     const auto it = streams_.find(addressed.address);
@@ -56,17 +56,17 @@
     } else {
       stream = transport_.open(addressed.address, kReportPath, message);
     }
-    kept[addressed.address] = stream;
+    openStreams[addressed.address] = stream;
   }
   for (const auto& [address, stream] : streams_) {
-    if (!kept.contains(address)) stream->close();
+    if (!openStreams.contains(address)) stream->close();
   }
-  streams_ = std::move(kept);
+  streams_ = std::move(openStreams);
 }
 
-void FleetLink::askSnapshot(const std::string& address, const SnapshotAsk& ask,
-                            std::function<void(const FleetSnapshot&)> onSnapshot) {
-  const PeerStreamPtr stream = transport_.open(address, kSnapshotPath, pack(ask));
+void FleetLink::requestSnapshot(const std::string& address, const SnapshotRequest& request,
+                                std::function<void(const FleetSnapshot&)> onSnapshot) {
+  const PeerStreamPtr stream = transport_.open(address, kSnapshotPath, pack(request));
   stream->onMessage = [onSnapshot = std::move(onSnapshot)](std::string_view message) {
     const auto snapshot = unpack<FleetSnapshot>(message);
     if (snapshot) onSnapshot(*snapshot);
--- a/Hallchute/src/Node/FleetLink.h
+++ b/Hallchute/src/Node/FleetLink.h
@@ -17,30 +17,32 @@
 
 class EventLoop;
 
-/// \brief Carries reports and snapshots between daemons. Control thread only.
+/// \brief Exchanges reports and snapshots with other daemons. Control thread only.
 /// \ingroup Node
 ///
-/// One stream a peer and direction stays open; reports are pushed on it.
+/// One stream per peer and direction is kept open for reports.
 class FleetLink {
  public:
   struct Callbacks {
     std::function<void(const FleetReport&)> onReport;
-    /// What this daemon tells a peer that asks.
-    std::function<FleetSnapshot(const SnapshotAsk&)> snapshot;
+    /// Returns the response to a peer's request for a snapshot.
+    std::function<FleetSnapshot(const SnapshotRequest&)> snapshot;
   };
 
-  /// \param fleet a word that all daemons of a deployment share: others are turned away.
+  /// \param fleet a name shared by all daemons of a deployment; peers with another one are
+  /// rejected.
   FleetLink(EventLoop& loop, const std::string& listen, const std::string& fleet,
             Callbacks callbacks);
   ~FleetLink();
   FleetLink(const FleetLink&) = delete;
   FleetLink& operator=(const FleetLink&) = delete;
 
-  /// \brief Pushes each report to its address; streams to others are closed.
-  void push(const std::vector<AddressedReport>& reports);
-  /// \brief Asks a peer for what it has beyond \p ask; nothing comes if it can't be reached.
-  void askSnapshot(const std::string& address, const SnapshotAsk& ask,
-                   std::function<void(const FleetSnapshot&)> onSnapshot);
+  /// \brief Sends each report to its address; streams to other addresses are closed.
+  void sendReports(const std::vector<AddressedReport>& reports);
+  /// \brief Requests from a peer what is newer than the versions in \p request; \p onSnapshot isn't
+  /// called if the peer can't be reached.
+  void requestSnapshot(const std::string& address, const SnapshotRequest& request,
+                       std::function<void(const FleetSnapshot&)> onSnapshot);
 
  private:
   Callbacks callbacks_;
--- a/Hallchute/src/Node/FleetSnapshot.h
+++ b/Hallchute/src/Node/FleetSnapshot.h
@@ -12,20 +12,20 @@
 
 namespace Hallchute {
 
-/// \brief What a daemon has already, when it asks a peer for more. \ingroup Node
-struct SnapshotAsk {
+/// \brief The versions that a daemon has when it requests newer ones from a peer. \ingroup Node
+struct SnapshotRequest {
   std::uint64_t settingsVersion = 0;
   std::uint64_t upstreamsVersion = 0;
 };
 
-/// \brief What a daemon that doesn't follow the store takes from a peer. \ingroup Node
+/// \brief What a daemon that doesn't watch the store receives from a peer. \ingroup Node
 struct FleetSnapshot {
   std::uint64_t settingsVersion = 0;
-  /// As the platform holds them; empty if the asker has them already.
+  /// In the platform's format; empty if the requester has this version.
   std::string settingsText;
-  /// Rises with the store's revision that `upstreams` are complete to.
+  /// The store's revision up to which `upstreams` are complete.
   std::uint64_t upstreamsVersion = 0;
-  /// All of them; empty if the asker has them already.
+  /// The complete list; empty if the requester has this version.
   std::vector<UpstreamRecord> upstreams;
 };
 
--- a/Hallchute/src/Node/FleetWire.h
+++ b/Hallchute/src/Node/FleetWire.h
@@ -11,7 +11,7 @@
 #include "Hallchute/src/Node/FleetSnapshot.h"
 
 /// \file
-/// \brief The wire form of what gateway daemons tell each other.
+/// \brief The wire format of the messages between gateway daemons.
 
 namespace Hallchute {
 
@@ -42,7 +42,7 @@
 inline auto wireFields(FleetSnapshot& m) {
   return std::tie(m.settingsVersion, m.settingsText, m.upstreamsVersion, m.upstreams);
 }
-inline auto wireFields(SnapshotAsk& m) {
+inline auto wireFields(SnapshotRequest& m) {
   return std::tie(m.settingsVersion, m.upstreamsVersion);
 }
 
--- a/Hallchute/src/Node/GatewayNode.cpp
+++ b/Hallchute/src/Node/GatewayNode.cpp
@@ -15,30 +15,32 @@
 namespace Hallchute {
 namespace {
 
-/// How often daemons tell each other: what a quota may be overdrawn by grows with it.
+/// Period of the reports between daemons. The possible overdraft of a quota grows with it.
 constexpr Millis kReportPeriod{200};
-/// The balancer asks once a second and takes two misses: until then new callers still come.
-constexpr Millis kUntilUnlisted{2'600};
-constexpr Millis kStopPeriod{50};
-/// What must be left of the grace for ending the process.
-constexpr Millis kStopMargin{700};
-/// Descriptors kept for other things than callers and upstreams.
+/// The load balancer probes readiness once a second and removes a daemon after two failures; until
+/// then new callers still connect.
+constexpr Millis kBalancerRemovalTime{2'600};
+constexpr Millis kStopPollPeriod{50};
+/// Part of the grace period that is reserved for ending the process.
+constexpr Millis kExitMargin{700};
+/// Descriptors reserved for uses other than callers and upstreams.
 constexpr std::size_t kReservedDescriptors = 300;
-/// A watch is silent no longer than this, and never longer than contact may be lost unnoticed.
-constexpr Millis kLongestWatch{3'000};
+/// Upper bound of a watch's timeout. The timeout also stays below the contact bound, within which a
+/// lost connection must be noticed.
+constexpr Millis kMaxWatchTimeout{3'000};
 constexpr Millis kWatchMargin{500};
-/// Between two lines on how much of the fleet is heard.
-constexpr Millis kFleetLogPause{1'000};
-/// Differences of clocks that a line of the log tells: smaller ones are a busy host's.
-constexpr Millis kClockDifference{500};
-/// Windows of usage that are kept: those whose report may still be due.
-constexpr std::int64_t kWindowsKept = 8;
+/// Minimum time between two log lines on how many daemons are heard from.
+constexpr Millis kFleetLogInterval{1'000};
+/// Changes of the clock's offset below this are not logged: they occur on a busy host.
+constexpr Millis kLoggedClockDifference{500};
+/// Number of past usage windows to keep, as their reports may still be due.
+constexpr std::int64_t kUsageWindowsKept = 8;
 
-Millis watchWait(const NodeBounds& bounds) {
-  return std::clamp(bounds.contact - kWatchMargin, kWatchMargin, kLongestWatch);
+Millis watchTimeout(const NodeBounds& bounds) {
+  return std::clamp(bounds.contact - kWatchMargin, kWatchMargin, kMaxWatchTimeout);
 }
 
-/// 0 if an organisation has no limit, or one that doesn't count tokens.
+/// Sum of the organisations' token rates; 0 if one has no limit or its limit doesn't count tokens.
 double quotaTokensOf(const GatewaySettings& settings) {
   double sum = 0;
   for (const GatewayOrganisation& organisation : settings.organisations) {
@@ -61,20 +63,20 @@
       startupPath_(std::move(startupPath)),
       self_(memberOf(startup_)),
       engine_(trafficLoop_, trafficOptions(), ports_.codec, metrics_),
-      readiness_([this] { return engine_.ready() && !stopAsked_; }),
+      readiness_([this] { return engine_.ready() && !stopRequested_; }),
       metricsPage_(metrics_),
-      callers_(trafficLoop_, startup_.callerListen, engine_, metrics_),
+      callerServer_(trafficLoop_, startup_.callerListen, engine_, metrics_),
       readinessServer_(trafficLoop_, startup_.readinessListen, readiness_, metrics_),
       fleet_(self_, clockNow()),
-      copy_(controlLoop_, ports_, watchWait(startup_.bounds),
-            {[this](const GatewaySettings& settings) { applySettings(settings); },
-             [this](const std::vector<UpstreamRecord>& upstreams) {
-               trafficLoop_.post([this, upstreams] { engine_.setUpstreams(upstreams); });
-             }}),
-      // All daemons of a deployment share its store, and no two deployments do.
+      storeCopy_(controlLoop_, ports_, watchTimeout(startup_.bounds),
+                 {[this](const GatewaySettings& settings) { applySettings(settings); },
+                  [this](const std::vector<UpstreamRecord>& upstreams) {
+                    trafficLoop_.post([this, upstreams] { engine_.setUpstreams(upstreams); });
+                  }}),
+      // The store's address identifies the deployment: no two deployments share a store.
       link_(controlLoop_, startup_.peerListen, startup_.storeAddress,
-            {[this](const FleetReport& report) { takeReport(report); },
-             [this](const SnapshotAsk& ask) { return copy_.snapshot(ask); }}) {
+            {[this](const FleetReport& report) { handleReport(report); },
+             [this](const SnapshotRequest& request) { return storeCopy_.snapshot(request); }}) {
   if (!startup_.metricsListen.empty()) {
     metricsServer_.emplace(trafficLoop_, startup_.metricsListen, metricsPage_, metrics_);
   }
@@ -85,9 +87,9 @@
 }
 
 GatewayNode::~GatewayNode() {
-  // Each turn of the duties asks the control thread: that one ends last.
+  // The duty thread calls into the control loop, so that one must end last.
   duties_.reset();
-  copy_.stop();
+  storeCopy_.stop();
   controlLoop_.stop();
   if (controlThread_.joinable()) controlThread_.join();
 }
@@ -98,7 +100,7 @@
   options.domain = startup_.domain;
   options.ownIp = startup_.ownIp;
   options.retries = {bounds.retryRatio, bounds.retrySlack, bounds.retryWindow};
-  options.quotas = {bounds.quotaOver, bounds.quotaSlack, bounds.quotaWindow};
+  options.quotas = {bounds.quotaOverdraftRatio, bounds.quotaSlack, bounds.quotaWindow};
   options.usageWindow = bounds.usageWindow;
   return options;
 }
@@ -118,14 +120,14 @@
 void GatewayNode::noteEarlierSize(std::size_t daemons) {
   controlLoop_.post([this, daemons] {
     fleet_.noteEarlierSize(daemons);
-    tellTraffic(clockNow());
+    updateTraffic(clockNow());
   });
 }
 
-DutyHolder GatewayNode::namedHolder(Instant now) const {
-  DutyHolder named = duties_ ? duties_->holder() : DutyHolder{};
-  for (const FleetReport* report : fleet_.reports(now)) named.learn(report->duties);
-  return named;
+DutyHolder GatewayNode::latestHolder(Instant now) const {
+  DutyHolder latest = duties_ ? duties_->holder() : DutyHolder{};
+  for (const FleetReport* report : fleet_.reports(now)) latest.learn(report->duties);
+  return latest;
 }
 
 DutyInput GatewayNode::dutyInput() {
@@ -134,7 +136,7 @@
     const Instant now = clockNow();
     input.leaving = leaving_;
     input.services = services_;
-    input.upstreams = copy_.upstreams();
+    input.upstreams = storeCopy_.upstreams();
     input.quotaTokens = quotaTokens_;
     DutyFacts& facts = input.facts;
     facts.wallClock = fleet_.clock().at(now);
@@ -142,17 +144,17 @@
     facts.met = fleet_.hasMet(now);
     facts.usageComplete = fleet_.usageComplete(now);
     facts.usage = fleet_.usageElsewhere(now);
-    addUsage(facts.usage, local_.usage);
+    addUsage(facts.usage, localReport_.usage);
     facts.heard = fleet_.heardOthers(now);
     if (!leaving_) facts.heard[self_.daemon] = self_.incarnation;
     UpstreamLoads loads = fleet_.loadsElsewhere(now);
-    for (const auto& [upstream, load] : local_.loads) loads[upstream] += load;
-    for (const UpstreamRecord& record : copy_.upstreams()) {
+    for (const auto& [upstream, load] : localReport_.loads) loads[upstream] += load;
+    for (const UpstreamRecord& record : storeCopy_.upstreams()) {
       const auto load = loads.find(record.id);
       if (load != loads.end()) input.load[record.service] += load->second.requests;
     }
-    facts.named = namedHolder(now);
-    facts.storeAge = copy_.age(now);
+    facts.named = latestHolder(now);
+    facts.storeAge = storeCopy_.age(now);
   });
   return input;
 }
@@ -168,13 +170,13 @@
   const auto routes = std::make_shared<const RouteTable>(std::move(applied));
   trafficLoop_.post([this, routes, limits] {
     engine_.setSettings(routes);
-    callers_.setLimits(limits);
+    callerServer_.setLimits(limits);
   });
 }
 
-void GatewayNode::reportLocally() {
+void GatewayNode::collectLocalReport() {
   const std::int64_t window = engine_.usage().windowAt(engine_.wallClock(clockNow()));
-  engine_.usage().forgetBefore(window - kWindowsKept);
+  engine_.usage().forgetBefore(window - kUsageWindowsKept);
   LocalReport local{
       engine_.quota().spent(), engine_.upstreams().ownLoads(), engine_.usage().counts(), {}};
   for (const auto& [id, entry] : engine_.upstreams().entries()) {
@@ -182,96 +184,98 @@
     local.draining.emplace_back(id, entry.leaving.value_or(entry.record.incarnation));
   }
   controlLoop_.post([this, window, local = std::move(local)] {
-    fleet_.forgetUsageBefore(window - kWindowsKept);
-    reportToFleet(local);
+    fleet_.forgetUsageBefore(window - kUsageWindowsKept);
+    sendFleetReport(local);
   });
 }
 
-void GatewayNode::reportToFleet(const LocalReport& local) {
+void GatewayNode::sendFleetReport(const LocalReport& local) {
   const Instant now = clockNow();
-  local_ = local;
+  localReport_ = local;
   const Millis hostClock(wallClockMs());
   fleet_.noteWallClock(hostClock, now);
-  logClock(hostClock, now);
+  logClockOffset(hostClock, now);
   FleetReport report;
   report.self = self_;
   report.wallClock = hostClock;
-  report.settingsVersion = copy_.state().settingsVersion;
-  report.upstreamsVersion = copy_.state().upstreamsVersion;
-  report.storeAge = copy_.age(now);
+  report.settingsVersion = storeCopy_.state().settingsVersion;
+  report.upstreamsVersion = storeCopy_.state().upstreamsVersion;
+  report.storeAge = storeCopy_.age(now);
   report.spent = local.spent;
   report.loads = local.loads;
   report.usage = local.usage;
   report.draining = local.draining;
   report.leaving = leaving_;
-  // What others named is passed on: not everyone hears the holder itself.
-  report.duties = namedHolder(now);
-  link_.push(fleet_.compose(report, now));
-  tellTraffic(now);
-  copy_.turn(fleet_, link_, now);
+  // Forwards the holder reported by others, as not every daemon receives the holder's own reports.
+  report.duties = latestHolder(now);
+  link_.sendReports(fleet_.compose(report, now));
+  updateTraffic(now);
+  storeCopy_.tick(fleet_, link_, now);
 }
 
-void GatewayNode::tellTraffic(Instant now) {
-  FleetTold told{fleet_.known(now), fleet_.loadsElsewhere(now), fleet_.quotaFleet(now),
-                 fleet_.clock().offset()};
-  logFleet(told, now);
-  trafficLoop_.post([this, told = std::move(told), old = copy_.mayBeOld(now)] {
-    engine_.setFleet(told);
-    engine_.setSettingsMayBeOld(old);
+void GatewayNode::updateTraffic(Instant now) {
+  FleetTold trafficView{fleet_.known(now), fleet_.loadsElsewhere(now), fleet_.quotaFleet(now),
+                        fleet_.clock().offset()};
+  logFleetState(trafficView, now);
+  trafficLoop_.post([this, trafficView = std::move(trafficView), stale = storeCopy_.mayBeOld(now)] {
+    engine_.setFleet(trafficView);
+    engine_.setSettingsMayBeOld(stale);
   });
 }
 
-/// Windows of usage go by the clock that the daemons share: a host's own may be wrong.
-void GatewayNode::logClock(Millis hostClock, Instant now) {
+/// Logs changes of the host clock's offset from the shared clock. Usage windows follow the shared
+/// clock because a host's own may be wrong.
+void GatewayNode::logClockOffset(Millis hostClock, Instant now) {
   const Millis ahead = hostClock - fleet_.clock().at(now);
-  if (std::chrono::abs(ahead - loggedClockAhead_) < kClockDifference) return;
+  if (std::chrono::abs(ahead - loggedClockAhead_) < kLoggedClockDifference) return;
   loggedClockAhead_ = ahead;
   LogLine(LogLevel::info, "fleet.clock")
       .with("hostAheadMs", static_cast<std::int64_t>(ahead.count()))
       .with("heard", fleet_.heard(now));
 }
 
-/// How much of the fleet is heard decides this daemon's part of quotas and of the retry budget.
-void GatewayNode::logFleet(const FleetTold& told, Instant now) {
+/// Logs how many daemons are heard from, which determines this daemon's share of quotas and of the
+/// retry budget.
+void GatewayNode::logFleetState(const FleetTold& trafficView, Instant now) {
   const DaemonId relay = fleet_.ownRelay(now);
-  const bool changed =
-      told.quota.heard != loggedHeard_ || told.known != loggedKnown_ || relay != loggedRelay_;
-  if (!changed || now - fleetLogged_ < kFleetLogPause) return;
-  loggedHeard_ = told.quota.heard;
-  loggedKnown_ = told.known;
+  const bool changed = trafficView.quota.heard != loggedHeard_ ||
+                       trafficView.known != loggedKnown_ || relay != loggedRelay_;
+  if (!changed || now - fleetLogged_ < kFleetLogInterval) return;
+  loggedHeard_ = trafficView.quota.heard;
+  loggedKnown_ = trafficView.known;
   loggedRelay_ = relay;
   fleetLogged_ = now;
   LogLine(LogLevel::info, "fleet.heard")
-      .with("heard", told.quota.heard)
-      .with("known", told.known)
+      .with("heard", trafficView.quota.heard)
+      .with("known", trafficView.known)
       .with("relay", fleet_.isRelay(now))
       .with("domainRelay", relay.str())
-      .with("storeAgeMs", copy_.age(now));
+      .with("storeAgeMs", storeCopy_.age(now));
 }
 
-void GatewayNode::takeReport(const FleetReport& report) {
+void GatewayNode::handleReport(const FleetReport& report) {
   const Instant now = clockNow();
-  FleetUpdate news = fleet_.receive(report, now);
-  copy_.noteReport(report, now);
-  if (news.newIncarnation) {
+  FleetUpdate update = fleet_.receive(report, now);
+  storeCopy_.noteReport(report, now);
+  if (update.newIncarnation) {
     LogLine(LogLevel::info, "fleet.member")
         .with("peer", report.self.daemon.str())
         .with("address", report.self.address)
         .with("incarnation", report.self.incarnation);
   }
-  if (news.spentMore.empty() && news.draining.empty()) return;
-  trafficLoop_.post([this, news = std::move(news)] {
-    for (const auto& [organisation, amount] : news.spentMore) {
+  if (update.spentMore.empty() && update.draining.empty()) return;
+  trafficLoop_.post([this, update = std::move(update)] {
+    for (const auto& [organisation, amount] : update.spentMore) {
       engine_.noteSpentElsewhere(organisation, amount);
     }
-    for (const UpstreamIncarnation& upstream : news.draining) engine_.noteDraining(upstream);
+    for (const UpstreamIncarnation& upstream : update.draining) engine_.noteDraining(upstream);
   });
 }
 
 void GatewayNode::run() {
-  trafficLoop_.every(kReportPeriod, [this] { reportLocally(); });
+  trafficLoop_.every(kReportPeriod, [this] { collectLocalReport(); });
   controlThread_ = std::thread([this] { controlLoop_.run(); });
-  copy_.start();
+  storeCopy_.start();
   if (duties_) duties_->start();
   LogLine(LogLevel::info, "daemon.start")
       .with("callers", startup_.callerListen)
@@ -282,29 +286,30 @@
 }
 
 void GatewayNode::stop() {
-  if (stopAsked_.exchange(true)) return;
+  if (stopRequested_.exchange(true)) return;
   LogLine(LogLevel::info, "daemon.stop").with("graceMs", startup_.bounds.grace);
   controlLoop_.post([this] { leaving_ = true; });
   trafficLoop_.post([this] {
-    callers_.drain();
-    stopTurn(clockNow());
+    callerServer_.drain();
+    pollStop(clockNow());
   });
 }
 
-/// Serves what is under way, and callers that still come, until the balancer sends no more.
-void GatewayNode::stopTurn(Instant began) {
-  const auto passed = clockNow() - began;
-  const bool unlisted = passed >= kUntilUnlisted;
-  if (unlisted) {
-    callers_.closeIdle();
+/// Ends the traffic loop once the load balancer has removed this daemon and all sessions are done,
+/// or shortly before the grace period ends. Serves pending requests and new callers until then.
+void GatewayNode::pollStop(Instant began) {
+  const auto elapsed = clockNow() - began;
+  const bool removedFromBalancer = elapsed >= kBalancerRemovalTime;
+  if (removedFromBalancer) {
+    callerServer_.closeIdle();
     engine_.refuseNew();
   }
-  const bool idle = unlisted && engine_.sessions() == 0 && callers_.busy() == 0;
-  if (idle || passed >= startup_.bounds.grace - kStopMargin) {
+  const bool idle = removedFromBalancer && engine_.sessions() == 0 && callerServer_.busy() == 0;
+  if (idle || elapsed >= startup_.bounds.grace - kExitMargin) {
     trafficLoop_.stop();
     return;
   }
-  trafficLoop_.after(kStopPeriod, [this, began] { stopTurn(began); });
+  trafficLoop_.after(kStopPollPeriod, [this, began] { pollStop(began); });
 }
 
 void GatewayNode::reload() {
@@ -312,13 +317,13 @@
   std::stringstream text;
   text << file.rdbuf();
   Findings findings;
-  const NodeStartup fresh = readNodeStartup(text.str(), findings);
+  const NodeStartup reloaded = readNodeStartup(text.str(), findings);
   if (!findings.empty()) {
     LogLine(LogLevel::error, "daemon.reloadRefused").with("findings", describe(findings));
     return;
   }
-  LogLine(LogLevel::info, "daemon.reload").with("seeds", fresh.seeds.size());
-  controlLoop_.post([this, seeds = fresh.seeds] { fleet_.addAddresses(seeds); });
+  LogLine(LogLevel::info, "daemon.reload").with("seeds", reloaded.seeds.size());
+  controlLoop_.post([this, seeds = reloaded.seeds] { fleet_.addAddresses(seeds); });
 }
 
 }  // namespace Hallchute
--- a/Hallchute/src/Node/GatewayNode.h
+++ b/Hallchute/src/Node/GatewayNode.h
@@ -24,30 +24,30 @@
 
 namespace Hallchute {
 
-/// \brief One gateway daemon with all its parts.
+/// \brief A gateway daemon with all its components.
 /// \ingroup Node
 ///
-/// Threads: one for traffic, one for control state and peers, one a followed kind of objects, and
-/// one for the duties' calls.
+/// Threads: one for traffic, one for control state and peers, one per kind of objects watched in
+/// the store, and one for the duties, whose calls block.
 class GatewayNode {
  public:
-  /// \param startupPath read again by reload().
+  /// \param startupPath the start-up file, read again by reload().
   /// \throws Poco::Exception if an address can't be bound.
   GatewayNode(NodeStartup startup, NodePorts ports, std::string startupPath);
   ~GatewayNode();
   GatewayNode(const GatewayNode&) = delete;
   GatewayNode& operator=(const GatewayNode&) = delete;
 
-  /// \brief Serves until a stop was asked for and done. Other threads run on until destruction,
-  /// which waits for pending calls of the platform.
+  /// \brief Serves until a requested stop is complete. Other threads run until destruction, which
+  /// waits for pending calls to the platform.
   void run();
-  /// \brief Asks for a planned stop. Any thread.
+  /// \brief Requests a graceful stop. Any thread.
   void stop();
-  /// \brief Reads the start-up file again. Any thread.
+  /// \brief Reads the start-up file again and adds its seeds. Any thread.
   void reload();
 
  private:
-  /// What the traffic thread tells the control thread at each turn.
+  /// State that the traffic thread passes to the control thread in each report period.
   struct LocalReport {
     SpentQuota spent;
     UpstreamLoads loads;
@@ -58,17 +58,17 @@
   TrafficOptions trafficOptions() const;
   void startDuties();
   void applySettings(const GatewaySettings& settings);
-  /// The holder of the duties by all that is heard.
-  DutyHolder namedHolder(Instant now) const;
+  /// The holder of the duties with the highest epoch in any report.
+  DutyHolder latestHolder(Instant now) const;
   DutyInput dutyInput();
-  void reportLocally();
-  void reportToFleet(const LocalReport& local);
+  void collectLocalReport();
+  void sendFleetReport(const LocalReport& local);
   void noteEarlierSize(std::size_t daemons);
-  void tellTraffic(Instant now);
-  void logClock(Millis hostClock, Instant now);
-  void logFleet(const FleetTold& told, Instant now);
-  void takeReport(const FleetReport& report);
-  void stopTurn(Instant began);
+  void updateTraffic(Instant now);
+  void logClockOffset(Millis hostClock, Instant now);
+  void logFleetState(const FleetTold& trafficView, Instant now);
+  void handleReport(const FleetReport& report);
+  void pollStop(Instant began);
 
   NodeStartup startup_;
   NodePorts ports_;
@@ -82,17 +82,17 @@
   TrafficEngine engine_;
   ReadinessHandler readiness_;
   MetricsHandler metricsPage_;
-  FrontServer callers_;
+  FrontServer callerServer_;
   FrontServer readinessServer_;
   std::optional<FrontServer> metricsServer_;
 
   // Control thread.
   FleetView fleet_;
-  StoreCopy copy_;
+  StoreCopy storeCopy_;
   FleetLink link_;
   std::vector<GatewayService> services_;
   double quotaTokens_ = 0;
-  LocalReport local_;
+  LocalReport localReport_;
   bool leaving_ = false;
   std::size_t loggedHeard_ = 0;
   std::size_t loggedKnown_ = 0;
@@ -102,7 +102,7 @@
 
   std::unique_ptr<DutyRunner> duties_;
   std::thread controlThread_;
-  std::atomic<bool> stopAsked_{false};
+  std::atomic<bool> stopRequested_{false};
 };
 
 }  // namespace Hallchute
--- a/Hallchute/src/Node/NodePorts.h
+++ b/Hallchute/src/Node/NodePorts.h
@@ -18,16 +18,16 @@
 class DutyPort;
 class TrafficCodec;
 
-/// \brief What a platform's adapter gives to a gateway daemon. \ingroup Node
+/// \brief The interfaces that a platform adapter provides to a gateway daemon. \ingroup Node
 struct NodePorts {
   const TrafficCodec& codec;
-  /// Holds one object, the settings in force.
+  /// Has one object, the current settings.
   ObjectSource& settings;
-  /// One object an upstream.
+  /// Has one object per upstream.
   ObjectSource& upstreams;
-  /// The name of the settings' object among those of its kind.
+  /// The name of the settings object among those of its kind.
   std::string_view settingsName;
-  /// Faults are added to the findings; nothing is returned if the settings can't be used.
+  /// Adds faults to the findings; returns nothing if the settings are unusable.
   std::function<std::optional<GatewaySettings>(const JsonObject&, Findings&)> readSettings;
   std::function<std::optional<UpstreamRecord>(const SourceObject&, Findings&)> readUpstream;
   /// Null where the deployment has no duties.
--- a/Hallchute/src/Node/NodeStartup.cpp
+++ b/Hallchute/src/Node/NodeStartup.cpp
@@ -12,24 +12,24 @@
 namespace {
 
 constexpr std::array<std::string_view, 4> kLogLevels{"info", "debug", "warning", "error"};
-constexpr double kMostSeconds = 3'600;
-constexpr double kMostMs = kMostSeconds * 1'000;
-constexpr std::int64_t kMostDescriptors = 1'048'576;
-constexpr double kMostProcessors = 1'024;
-constexpr double kMostRetries = 1'000'000;
-/// Tokens: more than any organisation's quota of a window.
-constexpr double kMostSlack = 1e9;
-/// Descriptors for the log, the loops, the store and peers.
-constexpr std::int64_t kLeastDescriptors = 64;
+constexpr double kMaxSeconds = 3'600;
+constexpr double kMaxMs = kMaxSeconds * 1'000;
+constexpr std::int64_t kMaxDescriptors = 1'048'576;
+constexpr double kMaxProcessors = 1'024;
+constexpr double kMaxRetrySlack = 1'000'000;
+/// More than any organisation's quota for a window.
+constexpr double kMaxQuotaSlackTokens = 1e9;
+/// Enough for the log, the event loops, the store and peers.
+constexpr std::int64_t kMinDescriptors = 64;
 
 Millis millis(JsonReader& reader, const std::string& name, Millis fallback) {
   const auto start = static_cast<double>(fallback.count());
-  return Millis(static_cast<Millis::rep>(reader.number(name, 0, kMostMs, start)));
+  return Millis(static_cast<Millis::rep>(reader.number(name, 0, kMaxMs, start)));
 }
 
 Millis seconds(JsonReader& reader, const std::string& name, Millis fallback) {
   const std::chrono::duration<double> start = fallback;
-  const std::chrono::duration<double> read(reader.number(name, 0, kMostSeconds, start.count()));
+  const std::chrono::duration<double> read(reader.number(name, 0, kMaxSeconds, start.count()));
   return std::chrono::duration_cast<Millis>(read);
 }
 
@@ -41,10 +41,10 @@
   bounds.lease = millis(reader, "leaseMs", bounds.lease);
   bounds.retryRatio = reader.number("retryRatio", 0, 1, bounds.retryRatio);
   bounds.retryWindow = seconds(reader, "retryWindowS", bounds.retryWindow);
-  bounds.retrySlack = reader.number("retrySlack", 0, kMostRetries, bounds.retrySlack);
-  bounds.quotaOver = reader.number("quotaOver", 0, 1, bounds.quotaOver);
+  bounds.retrySlack = reader.number("retrySlack", 0, kMaxRetrySlack, bounds.retrySlack);
+  bounds.quotaOverdraftRatio = reader.number("quotaOver", 0, 1, bounds.quotaOverdraftRatio);
   bounds.quotaWindow = seconds(reader, "quotaWindowS", bounds.quotaWindow);
-  bounds.quotaSlack = reader.number("quotaSlack", 0, kMostSlack, bounds.quotaSlack);
+  bounds.quotaSlack = reader.number("quotaSlack", 0, kMaxQuotaSlackTokens, bounds.quotaSlack);
   bounds.usageWindow = seconds(reader, "usageWindowS", bounds.usageWindow);
   bounds.usageDue = seconds(reader, "usageDueS", bounds.usageDue);
   if (bounds.usageWindow <= Millis(0)) reader.report("usageWindowS", "must be above 0");
@@ -75,11 +75,11 @@
   startup.ownIp = root.text("ip", true);
   startup.logLevel = root.oneOf("logLevel", kLogLevels);
   startup.seeds = root.texts("seeds");
-  const double processors = root.number("processors", 0, kMostProcessors, 1);
+  const double processors = root.number("processors", 0, kMaxProcessors, 1);
   startup.capacity = static_cast<std::uint32_t>(processors * 1'000);
   for (const std::string& name : root.texts("failureDomains")) startup.domains.emplace_back(name);
   startup.descriptors = static_cast<std::size_t>(
-      root.integer("descriptors", kLeastDescriptors, kMostDescriptors, 1'024));
+      root.integer("descriptors", kMinDescriptors, kMaxDescriptors, 1'024));
   for (const char* section : {"listen", "store"}) {
     if (!root.has(section)) root.report(section, "is missing");
   }
--- a/Hallchute/src/Node/NodeStartup.h
+++ b/Hallchute/src/Node/NodeStartup.h
@@ -16,37 +16,38 @@
 
 namespace Hallchute {
 
-/// \brief The time bounds that a deployment states. \ingroup Node
+/// \brief The time bounds, and those of retries and quotas, that a deployment states.
+/// \ingroup Node
 struct NodeBounds {
-  /// From an upstream's word that it leaves to the last request sent there.
+  /// From an upstream's announcement that it is leaving to the last request sent to it.
   Millis drain{2'000};
-  /// From an accepted settings change to its being in force everywhere.
+  /// From the acceptance of a settings change until all daemons apply it.
   Millis settings{2'000};
-  /// What a host must have been in contact for before time bounds hold for it.
+  /// How long a host must have been in contact before the time bounds apply to it.
   Millis contact{3'000};
   /// From SIGTERM to SIGKILL.
   Millis grace{8'000};
-  /// How long a holder of a duty counts as holding it after it fell silent.
+  /// How long a silent holder of a duty keeps it.
   Millis lease{3'000};
   double retryRatio = 0.2;
   Millis retryWindow{10'000};
   double retrySlack = 0;
-  /// By how much a quota may be overdrawn in a window: a part of it, and units on top.
-  double quotaOver = 0;
+  /// Permitted overdraft of a quota in a window: this fraction of it plus `quotaSlack` units.
+  double quotaOverdraftRatio = 0;
   Millis quotaWindow{8'000};
   double quotaSlack = 0;
   Millis usageWindow{5'000};
-  /// From the end of a usage window to when its report is due.
+  /// From the end of a usage window to the deadline of its report.
   Millis usageDue{10'000};
 };
 
-/// \brief What a gateway daemon must know at start. \ingroup Node
+/// \brief The start-up configuration of a gateway daemon. \ingroup Node
 struct NodeStartup {
   DaemonId daemon;
   DomainName domain;
   std::string ownIp;
-  /// Where callers connect; where the balancer asks whether the daemon is ready; where peers
-  /// connect; where metrics are served. Each `ip:port`.
+  /// Listen addresses as `ip:port`: for callers, for the load balancer's readiness probes, for
+  /// peers and for metrics.
   std::string callerListen;
   std::string readinessListen;
   std::string peerListen;
@@ -58,15 +59,15 @@
   std::string dutyAddress;
   bool ordersReplicas = false;
   bool reportsUsage = false;
-  /// Descriptors that the process may have open.
+  /// Limit of the process's open file descriptors.
   std::size_t descriptors = 1'024;
   NodeBounds bounds;
-  /// Thousandths of a processor that the host gives.
+  /// Processing capacity of the host in thousandths of a processor.
   std::uint32_t capacity = 1'000;
   std::string logLevel = "info";
 };
 
-/// \brief Reads and checks a gateway's start-up file; every fault is added to \p findings.
+/// \brief Parses and validates a gateway's start-up file; adds every fault to \p findings.
 /// \ingroup Node
 NodeStartup readNodeStartup(std::string_view text, Findings& findings);
 
--- a/Hallchute/src/Node/ObjectFollower.cpp
+++ b/Hallchute/src/Node/ObjectFollower.cpp
@@ -10,11 +10,11 @@
 namespace Hallchute {
 namespace {
 
-/// Between two tries at a store that doesn't answer: changes must be in force within a few
-/// hundred milliseconds of its return.
-constexpr Millis kRetryPause{250};
-/// Between two tries of a daemon on which no other one counts: calls that fail cost as others do.
-constexpr Millis kProbePause{2'000};
+/// Delay before retrying a store that doesn't respond: changes must be applied within a few hundred
+/// milliseconds of its recovery.
+constexpr Millis kRetryDelay{250};
+/// Delay before retrying where no other daemon relies on this one: failed calls are billed too.
+constexpr Millis kProbeInterval{2'000};
 
 std::string_view modeText(FollowMode mode) {
   switch (mode) {
@@ -34,9 +34,9 @@
 
 }  // namespace
 
-ObjectFollower::ObjectFollower(std::string name, ObjectSource& source, FollowPace pace,
+ObjectFollower::ObjectFollower(std::string name, ObjectSource& source, FollowTiming timing,
                                Callbacks callbacks)
-    : name_(std::move(name)), source_(source), pace_(pace), callbacks_(std::move(callbacks)) {}
+    : name_(std::move(name)), source_(source), timing_(timing), callbacks_(std::move(callbacks)) {}
 
 ObjectFollower::~ObjectFollower() {
   stop();
@@ -48,7 +48,7 @@
 
 void ObjectFollower::stop() {
   {
-    // Under the lock: a thread that is about to rest must not miss it.
+    // Set under the lock, so that a thread about to wait doesn't miss it.
     const std::lock_guard lock(mutex_);
     stopping_ = true;
   }
@@ -56,12 +56,12 @@
   if (thread_.joinable()) thread_.join();
 }
 
-void ObjectFollower::pause(Millis time) {
+void ObjectFollower::waitFor(Millis time) {
   std::unique_lock lock(mutex_);
   wake_.wait_for(lock, time, [this] { return stopping_.load(); });
 }
 
-void ObjectFollower::rest() {
+void ObjectFollower::waitWhileOff() {
   std::unique_lock lock(mutex_);
   wake_.wait(lock, [this] { return stopping_ || mode_ != FollowMode::off; });
 }
@@ -73,7 +73,7 @@
       .with("follows", name_)
       .with("before", modeText(before))
       .with("mode", modeText(mode));
-  // What was known before the rest may be older than the store's history.
+  // The copy's revision may have left the store's history while the mode was off.
   if (before == FollowMode::off) refresh_ = true;
   if (mode == FollowMode::off) {
     reachable_ = false;
@@ -86,45 +86,45 @@
 void ObjectFollower::run() {
   while (!stopping_) {
     if (mode_ == FollowMode::off) {
-      rest();
+      waitWhileOff();
       continue;
     }
     if (refresh_.exchange(false)) listed_ = false;
-    if (!ask()) pause(mode_ == FollowMode::following ? kRetryPause : kProbePause);
+    if (!callStore()) waitFor(mode_ == FollowMode::following ? kRetryDelay : kProbeInterval);
   }
 }
 
-bool ObjectFollower::ask() {
-  if (starting_) return listFirst();
-  return listed_ ? watchOnce() : listAll();
+bool ObjectFollower::callStore() {
+  if (initialListPending_) return listInitial();
+  return listed_ ? watchOnce() : listNewest();
 }
 
-void ObjectFollower::noteContact(bool reachable, const absl::Status& status) {
+void ObjectFollower::updateReachability(bool reachable, const absl::Status& status) {
   if (mode_ == FollowMode::off || reachable_.exchange(reachable) == reachable) return;
   LogLine(reachable ? LogLevel::info : LogLevel::warning,
           reachable ? "store.regained" : "store.lost")
       .with("follows", name_)
       .with("asOf", asOf_)
       .with("detail", view(status.message()));
-  if (!reachable) wasLost_ = true;
-  if (reachable && std::exchange(wasLost_, false)) callbacks_.onReturn();
+  if (!reachable) outageSeen_ = true;
+  if (reachable && std::exchange(outageSeen_, false)) callbacks_.onRecovery();
 }
 
-bool ObjectFollower::listAll() {
-  const bool answered = takeList(source_.list(ReadAge::newest));
+bool ObjectFollower::listNewest() {
+  const bool answered = applyList(source_.list(ReadAge::newest));
   if (answered && mode_ != FollowMode::off) current_ = true;
   return answered;
 }
 
-bool ObjectFollower::listFirst() {
-  if (!takeList(source_.list(ReadAge::maybeOld))) return false;
-  starting_ = false;
-  pause(pace_.startPause);
+bool ObjectFollower::listInitial() {
+  if (!applyList(source_.list(ReadAge::maybeOld))) return false;
+  initialListPending_ = false;
+  waitFor(timing_.initialWatchDelay);
   return true;
 }
 
-bool ObjectFollower::takeList(absl::StatusOr<SourceBatch> batch) {
-  noteContact(batch.ok(), batch.status());
+bool ObjectFollower::applyList(absl::StatusOr<SourceBatch> batch) {
+  updateReachability(batch.ok(), batch.status());
   if (!batch.ok()) return false;
   objects_.clear();
   asOf_ = batch->asOf;
@@ -135,23 +135,24 @@
 }
 
 bool ObjectFollower::watchOnce() {
-  const absl::StatusOr<SourceBatch> batch = source_.watch(asOf_, pace_.watchWait);
+  const absl::StatusOr<SourceBatch> batch = source_.watch(asOf_, timing_.watchTimeout);
   if (batch.ok()) {
-    noteContact(true, batch.status());
+    updateReachability(true, batch.status());
     apply(*batch);
     if (mode_ != FollowMode::off) current_ = true;
-    if (!batch->objects.empty()) pause(pace_.gather);
+    if (!batch->objects.empty()) waitFor(timing_.batchDelay);
     return true;
   }
   listed_ = false;
-  // A gap in the history is an answer; so is a watch that was cut: the list tells what is true.
+  // A gap in the history is a response of the store. After any other failure a list shows whether
+  // the store can be reached.
   const bool gap = absl::IsOutOfRange(batch.status());
   LogLine(LogLevel::info, "store.watchEnded")
       .with("follows", name_)
       .with("asOf", asOf_)
       .with("detail", view(batch.status().message()));
   if (gap) return true;
-  return listAll();
+  return listNewest();
 }
 
 void ObjectFollower::apply(const SourceBatch& batch) {
--- a/Hallchute/src/Node/ObjectFollower.h
+++ b/Hallchute/src/Node/ObjectFollower.h
@@ -18,76 +18,78 @@
 
 namespace Hallchute {
 
-/// \brief How often a follower calls the store: calls are paid for. \ingroup Node
-struct FollowPace {
-  /// How long a watch may stay silent: what a lost path can hide for.
-  Millis watchWait{3'000};
-  /// How long changes are gathered after one before the next watch.
-  Millis gather{0};
-  /// Between the first list and the first watch.
-  Millis startPause{0};
+/// \brief Timing of a follower's calls to the store, each of which is billed. \ingroup Node
+struct FollowTiming {
+  /// How long a watch may return nothing, which is also how long a lost connection can go
+  /// unnoticed.
+  Millis watchTimeout{3'000};
+  /// Delay between a change and the next watch, which then returns further changes together.
+  Millis batchDelay{0};
+  /// Delay between the initial list and the first watch.
+  Millis initialWatchDelay{0};
 };
 
-/// \brief Keeps a copy of the objects of one kind, by listing once and watching on.
-/// \ingroup Node
+/// \brief Maintains a copy of the objects of one kind by listing them once and watching for
+/// changes. \ingroup Node
 ///
-/// A thread of its own, which others may send to rest. A watch that is cut, or whose history is
-/// gone, leads to a new list at once; a store that doesn't answer is asked again after a short
-/// pause. The first list may be old: all daemons of a fleet start together, and those that go on
-/// watching hear what is newer; by the time of the first watch the others know that they rest.
+/// Runs on its own thread, which other threads can suspend. A watch that is interrupted, or whose
+/// revision has left the store's history, is followed by a new list at once; a store that doesn't
+/// respond is retried after a short delay. The initial list may be stale: all daemons of a fleet
+/// start together, and those that watch receive newer changes. By the time of the first watch the
+/// mode of the others has been set to off.
 class ObjectFollower {
  public:
   using Objects = std::map<std::string, SourceObject>;
   struct Callbacks {
-    /// Called with all objects after each change and the store's revision they are complete to,
-    /// from the follower's thread.
+    /// Called on the follower's thread after each change, with all objects and the store's revision
+    /// up to which they are complete.
     std::function<void(const Objects&, std::uint64_t asOf)> onChange;
-    /// The store answers again after it did not; comes before the first change after that.
-    std::function<void()> onReturn;
+    /// Called when the store responds again after a failure, before onChange().
+    std::function<void()> onRecovery;
   };
 
-  /// \param name for log lines.
-  ObjectFollower(std::string name, ObjectSource& source, FollowPace pace, Callbacks callbacks);
+  /// \param name the kind of objects in log lines.
+  ObjectFollower(std::string name, ObjectSource& source, FollowTiming timing, Callbacks callbacks);
   ~ObjectFollower();
   ObjectFollower(const ObjectFollower&) = delete;
   ObjectFollower& operator=(const ObjectFollower&) = delete;
 
   void start();
   void stop();
-  /// \brief Whether it watches, asks now and then, or rests. It starts by watching. Any thread.
+  /// \brief Selects watching, occasional probing or no calls. Initially it watches. Any thread.
   void setMode(FollowMode mode);
-  /// \brief Whether it doesn't rest, the store answered last time, and the copy is not just an old
-  /// first list. Any thread.
+  /// \brief Whether the mode isn't off, the last call to the store succeeded, and the copy is newer
+  /// than a possibly stale initial list. Any thread.
   bool inContact() const { return reachable_ && current_; }
-  /// \brief The store may be ahead of this copy: it is listed as soon as the pending call ends.
+  /// \brief Requests a new list after the pending call, as the store may be ahead of this copy.
   void refresh() { refresh_ = true; }
 
  private:
   void run();
-  /// One call of the store. \returns whether it answered, as all that it uses do.
-  bool ask();
-  bool listAll();
-  bool listFirst();
-  bool takeList(absl::StatusOr<SourceBatch> batch);
+  /// Makes the next call to the store. Like the functions that it calls, \returns whether the store
+  /// responded.
+  bool callStore();
+  bool listNewest();
+  bool listInitial();
+  bool applyList(absl::StatusOr<SourceBatch> batch);
   bool watchOnce();
   void apply(const SourceBatch& batch);
-  void noteContact(bool reachable, const absl::Status& status);
-  void pause(Millis time);
-  /// Waits while the mode is off.
-  void rest();
+  void updateReachability(bool reachable, const absl::Status& status);
+  void waitFor(Millis time);
+  void waitWhileOff();
 
   std::string name_;
   ObjectSource& source_;
-  FollowPace pace_;
+  FollowTiming timing_;
   Callbacks callbacks_;
   Objects objects_;
   std::uint64_t asOf_ = 0;
   bool listed_ = false;
-  /// Nothing was listed yet.
-  bool starting_ = true;
-  bool wasLost_ = false;
+  /// The initial list has not succeeded yet.
+  bool initialListPending_ = true;
+  bool outageSeen_ = false;
   std::atomic<bool> reachable_{false};
-  /// A list of the newest, or a watch, was answered since it began or rested.
+  /// An up-to-date list or a watch has succeeded since the start, or since the mode was last off.
   std::atomic<bool> current_{false};
   std::atomic<FollowMode> mode_{FollowMode::following};
   std::atomic<bool> refresh_{false};
--- a/Hallchute/src/Node/PageHandlers.h
+++ b/Hallchute/src/Node/PageHandlers.h
@@ -13,7 +13,7 @@
 
 namespace Hallchute {
 
-/// \brief Tells the balancer whether callers should be sent here: 200 or 503. \ingroup Node
+/// \brief Responds to readiness probes of the load balancer with 200 or 503. \ingroup Node
 class ReadinessHandler final : public FrontHandler {
  public:
   explicit ReadinessHandler(std::function<bool()> ready) : ready_(std::move(ready)) {}
--- a/Hallchute/src/Node/StoreCopy.cpp
+++ b/Hallchute/src/Node/StoreCopy.cpp
@@ -14,31 +14,33 @@
 namespace Hallchute {
 namespace {
 
-/// Upstreams come and go in waves, an entry at a time: each would be a call of every daemon that
-/// watches. A quarter of the shortest time in which one that leaves must be left alone.
-constexpr Millis kGatherUpstreams{500};
-/// Daemons that start together take this long to know which of them watch the store for all: 295
-/// daemons that all begin two watches make 590 calls of which 20 are needed.
-constexpr Millis kStartPause{1'200};
+/// Upstreams start and leave in bursts, one entry at a time, and each entry would cost every
+/// watching daemon a call. A quarter of the shortest drain bound, within which requests to a
+/// leaving upstream must cease.
+constexpr Millis kUpstreamBatchDelay{500};
+/// Time in which daemons that start together find out which of them watch the store for the others:
+/// 295 daemons that each start two watches make 590 calls, of which 20 are needed.
+constexpr Millis kInitialWatchDelay{1'200};
 
 }  // namespace
 
-StoreCopy::StoreCopy(EventLoop& loop, NodePorts ports, Millis watchWait, Callbacks callbacks)
+StoreCopy::StoreCopy(EventLoop& loop, NodePorts ports, Millis watchTimeout, Callbacks callbacks)
     : loop_(loop),
       ports_(std::move(ports)),
       callbacks_(std::move(callbacks)),
-      news_(clockNow()),
-      settingsFollower_("settings", ports_.settings, {watchWait, Millis(0), kStartPause},
+      freshness_(clockNow()),
+      settingsFollower_("settings", ports_.settings, {watchTimeout, Millis(0), kInitialWatchDelay},
                         {[this](const ObjectFollower::Objects& objects, std::uint64_t) {
                            const auto it = objects.find(std::string(ports_.settingsName));
                            if (it != objects.end()) decodeSettings(it->second.content, "store");
                          },
                          [] {}}),
-      upstreamFollower_("upstreams", ports_.upstreams, {watchWait, kGatherUpstreams, kStartPause},
+      upstreamFollower_("upstreams", ports_.upstreams,
+                        {watchTimeout, kUpstreamBatchDelay, kInitialWatchDelay},
                         {[this](const ObjectFollower::Objects& objects, std::uint64_t asOf) {
                            decodeUpstreams(objects, asOf);
                          },
-                         [this] { loop_.post([this] { noteReturn(); }); }}) {}
+                         [this] { loop_.post([this] { handleStoreRecovery(); }); }}) {}
 
 void StoreCopy::start() {
   settingsFollower_.start();
@@ -51,30 +53,30 @@
 }
 
 StoreState StoreCopy::state() const {
-  // Settings decide what a request may do: contact counts for them.
+  // Contact is that of the settings, which decide what a request may do.
   return {settingsVersion_, upstreams_.version(), settingsFollower_.inContact()};
 }
 
-void StoreCopy::turn(const FleetView& fleet, FleetLink& link, Instant now) {
-  const FollowMode mode = news_.mode(fleet.followsStore(now), state(), now);
+void StoreCopy::tick(const FleetView& fleet, FleetLink& link, Instant now) {
+  const FollowMode mode = freshness_.mode(fleet.followsStore(now), state(), now);
   settingsFollower_.setMode(mode);
   upstreamFollower_.setMode(mode);
   const std::vector<const FleetReport*> reports = fleet.reports(now);
-  const auto address = news_.peerToAsk(state(), reports, now);
+  const auto address = freshness_.peerToAsk(state(), reports, now);
   if (!address) return;
-  // A pending watch may hang on a lost path.
+  // A pending watch may be stuck on a lost connection.
   settingsFollower_.refresh();
-  link.askSnapshot(*address, {settingsVersion_, upstreams_.version()},
-                   [this](const FleetSnapshot& snapshot) { takeSnapshot(snapshot); });
+  link.requestSnapshot(*address, {settingsVersion_, upstreams_.version()},
+                       [this](const FleetSnapshot& snapshot) { applySnapshot(snapshot); });
 }
 
-FleetSnapshot StoreCopy::snapshot(const SnapshotAsk& ask) const {
+FleetSnapshot StoreCopy::snapshot(const SnapshotRequest& request) const {
   FleetSnapshot snapshot;
-  if (settingsVersion_ > ask.settingsVersion) {
+  if (settingsVersion_ > request.settingsVersion) {
     snapshot.settingsVersion = settingsVersion_;
     snapshot.settingsText = settingsText_;
   }
-  if (upstreams_.version() > ask.upstreamsVersion) {
+  if (upstreams_.version() > request.upstreamsVersion) {
     snapshot.upstreamsVersion = upstreams_.version();
     snapshot.upstreams = upstreams_.listed();
   }
@@ -91,11 +93,11 @@
   }
   if (!settings) return;
   loop_.post([this, settings = std::move(*settings), text = jsonText(content)] {
-    takeSettings(settings, text);
+    applySettings(settings, text);
   });
 }
 
-void StoreCopy::takeSettings(const GatewaySettings& settings, const std::string& text) {
+void StoreCopy::applySettings(const GatewaySettings& settings, const std::string& text) {
   if (settings.version <= settingsVersion_) return;
   settingsVersion_ = settings.version;
   settingsText_ = text;
@@ -118,16 +120,16 @@
 }
 
 void StoreCopy::noteReport(const FleetReport& report, Instant now) {
-  if (news_.noteReport(report, state(), now)) holdLapsed(now);
+  if (freshness_.noteReport(report, state(), now)) retainLapsed(now);
 }
 
-void StoreCopy::noteReturn() {
+void StoreCopy::handleStoreRecovery() {
   const Instant now = clockNow();
-  // A store that answered peers all the while has let no living upstream's entry lapse.
-  if (news_.wasAway(now)) holdLapsed(now);
+  // If the store kept responding to peers, no running upstream's entry has lapsed.
+  if (freshness_.wasAway(now)) retainLapsed(now);
 }
 
-void StoreCopy::holdLapsed(Instant now) {
+void StoreCopy::retainLapsed(Instant now) {
   if (!upstreams_.noteReturn(now)) return;
   LogLine(LogLevel::info, "upstreams.held").with("forMs", LapsedUpstreams::kBackWithin);
   loop_.after(LapsedUpstreams::kBackWithin,
@@ -138,7 +140,7 @@
   if (changed) callbacks_.onUpstreams(upstreams_.upstreams());
 }
 
-void StoreCopy::takeSnapshot(const FleetSnapshot& snapshot) {
+void StoreCopy::applySnapshot(const FleetSnapshot& snapshot) {
   if (snapshot.settingsVersion > settingsVersion_) {
     Findings findings;
     const JsonObject content = parseJsonObject(snapshot.settingsText, findings);
--- a/Hallchute/src/Node/StoreCopy.h
+++ b/Hallchute/src/Node/StoreCopy.h
@@ -24,11 +24,11 @@
 class FleetLink;
 class FleetView;
 
-/// \brief A daemon's copy of what the platform's store holds: the settings and the upstreams.
+/// \brief A daemon's copy of the settings and the upstreams in the platform's store.
 /// \ingroup Node
 ///
-/// It comes from the daemon's own watches or from peers that watch, and only ever gets newer.
-/// Control thread only, but for the followers' threads inside.
+/// Updated by the daemon's own watches or by peers that watch; versions never go back. Control
+/// thread only, except for the followers' internal threads.
 class StoreCopy {
  public:
   struct Callbacks {
@@ -36,40 +36,41 @@
     std::function<void(const std::vector<UpstreamRecord>&)> onUpstreams;
   };
 
-  /// \param watchWait how long a watch may stay silent.
-  StoreCopy(EventLoop& loop, NodePorts ports, Millis watchWait, Callbacks callbacks);
+  /// \param watchTimeout how long a watch may return nothing.
+  StoreCopy(EventLoop& loop, NodePorts ports, Millis watchTimeout, Callbacks callbacks);
   StoreCopy(const StoreCopy&) = delete;
   StoreCopy& operator=(const StoreCopy&) = delete;
 
   void start();
-  /// \brief Ends the followers; waits for their pending calls. Any thread but the loop's.
+  /// \brief Stops the followers after their pending calls. Any thread except the loop's.
   void stop();
-  /// \brief One turn: follows or rests as the fleet needs, asks a peer that is ahead.
-  void turn(const FleetView& fleet, FleetLink& link, Instant now);
+  /// \brief To be called periodically: sets the followers' mode and requests a snapshot from a peer
+  /// that has a newer version.
+  void tick(const FleetView& fleet, FleetLink& link, Instant now);
   void noteReport(const FleetReport& report, Instant now);
-  /// \brief What a peer lacks of this copy.
-  FleetSnapshot snapshot(const SnapshotAsk& ask) const;
+  /// \brief The parts of this copy that are newer than a peer's versions.
+  FleetSnapshot snapshot(const SnapshotRequest& request) const;
   StoreState state() const;
-  /// \brief How long ago the store last answered anybody this daemon hears of.
-  Millis age(Instant now) const { return news_.age(state(), now); }
-  /// \brief Whether newer settings may exist that this daemon can't hear of.
-  bool mayBeOld(Instant now) const { return news_.mayBeOld(state(), now); }
+  /// \brief Time since the store last responded to this daemon or to one that it has reports of.
+  Millis age(Instant now) const { return freshness_.age(state(), now); }
+  /// \brief Whether newer settings may exist that can't reach this daemon.
+  bool mayBeOld(Instant now) const { return freshness_.mayBeOld(state(), now); }
   const std::vector<UpstreamRecord>& upstreams() const { return upstreams_.upstreams(); }
 
  private:
   void decodeSettings(const JsonObject& content, std::string_view source);
   void decodeUpstreams(const ObjectFollower::Objects& objects, std::uint64_t asOf);
-  void takeSettings(const GatewaySettings& settings, const std::string& text);
-  void noteReturn();
-  void holdLapsed(Instant now);
-  /// \param changed whether the upstreams did; the callback learns of them.
+  void applySettings(const GatewaySettings& settings, const std::string& text);
+  void handleStoreRecovery();
+  void retainLapsed(Instant now);
+  /// Calls onUpstreams() if \p changed.
   void publishUpstreams(bool changed);
-  void takeSnapshot(const FleetSnapshot& snapshot);
+  void applySnapshot(const FleetSnapshot& snapshot);
 
   EventLoop& loop_;
   NodePorts ports_;
   Callbacks callbacks_;
-  StoreNews news_;
+  StoreNews freshness_;
   std::uint64_t settingsVersion_ = 0;
   std::string settingsText_;
   UpstreamCopy upstreams_;
