--- a/Hallchute/src/Daemon/AnswerRunner.cpp
+++ b/Hallchute/src/Daemon/AnswerRunner.cpp
@@ -86,7 +86,7 @@
   spec.wanted.expectedTokens = job.maxTokens - std::min(job.maxTokens, job_->tokenCount());
   spec.wanted.affinity = job.affinity;
   spec.wanted.prefixHashes = job.prefixHashes;
-  spec.wanted.avoid = avoid_;
+  spec.wanted.failedUpstreams = avoid_;
   spec.wanted.resumption = resumption_;
   spec.wanted.deadline = std::min(clockNow() + job.queueLimit, job.deadline);
   return spec;
--- a/Hallchute/src/Fleet/FleetRoster.cpp
+++ b/Hallchute/src/Fleet/FleetRoster.cpp
@@ -83,7 +83,7 @@
   return it == found.relays.end() ? DaemonId() : it->second;
 }
 
-bool FleetRoster::followsStore(Instant now) const {
+bool FleetRoster::watchesStore(Instant now) const {
   if (isSmall(now)) return true;
   const std::vector<DaemonId> followers = strongestOf(self_.domain, kFollowersOfDomain, now);
   return std::find(followers.begin(), followers.end(), self_.daemon) != followers.end();
@@ -155,7 +155,7 @@
   return now - started_ < FleetPeer::kKnownFor ? std::max(count, earlierSize_) : count;
 }
 
-bool FleetRoster::hasMet(Instant now) const {
+bool FleetRoster::discoveryComplete(Instant now) const {
   if (now - started_ >= kMeetTime) return true;
   // One that ran before this daemon's start knows the fleet and tells it at once.
   return std::any_of(peers_.begin(), peers_.end(), [&](const auto& entry) {
@@ -170,7 +170,7 @@
   fleet.heard = heard(now);
   fleet.reportLag = reportLag(now);
   const auto all = static_cast<double>(std::max<std::size_t>(1, known(now)));
-  fleet.discovering = !hasMet(now);
+  fleet.discovering = !discoveryComplete(now);
   if (fleet.discovering) {
     fleet.discoveryTimeLeft = std::chrono::duration_cast<Millis>(started_ + kMeetTime - now);
   }
@@ -180,13 +180,13 @@
   return fleet;
 }
 
-std::uint64_t FleetRoster::heardIncarnation(const DaemonId& daemon, Instant now) const {
+std::uint64_t FleetRoster::liveIncarnation(const DaemonId& daemon, Instant now) const {
   const auto it = peers_.find(daemon);
   if (it == peers_.end() || !it->second.alive(now)) return 0;
   return it->second.report.self.incarnation;
 }
 
-std::map<DaemonId, std::uint64_t> FleetRoster::heardOthers(Instant now) const {
+std::map<DaemonId, std::uint64_t> FleetRoster::liveOthers(Instant now) const {
   std::map<DaemonId, std::uint64_t> heard;
   for (const auto& [daemon, peer] : peers_) {
     if (peer.alive(now)) heard[daemon] = peer.report.self.incarnation;
--- a/Hallchute/src/Node/DutyRunner.cpp
+++ b/Hallchute/src/Node/DutyRunner.cpp
@@ -80,17 +80,17 @@
 }
 
 void DutyRunner::updateHolder() {
-  const bool holds = keeper_.holds();
-  if (holds != wasHolder_) {
-    wasHolder_ = holds;
-    LogLine(LogLevel::info, holds ? "duty.taken" : "duty.left")
+  const bool holdsDuties = keeper_.holdsDuties();
+  if (holdsDuties != wasHolder_) {
+    wasHolder_ = holdsDuties;
+    LogLine(LogLevel::info, holdsDuties ? "duty.taken" : "duty.left")
         .with("epoch", keeper_.holder().epoch);
   }
   // The epoch is unchanged if the holder missed the response to a write and later found it done:
   // its planner keeps its orders.
-  if (holds && lastHeldEpoch_ != keeper_.holder().epoch) {
+  if (holdsDuties && lastHeldEpoch_ != keeper_.holder().epoch) {
     lastHeldEpoch_ = keeper_.holder().epoch;
-    planner_.startOver(lastHeldEpoch_ > kFirstEpoch);
+    planner_.resetOrders(lastHeldEpoch_ > kFirstEpoch);
   }
   const std::lock_guard lock(mutex_);
   const DutyHolder known = keeper_.holder();
@@ -120,7 +120,7 @@
 void DutyRunner::runOnce() {
   const DutyInput input = callbacks_.input();
   if (input.leaving) {
-    if (keeper_.holds()) release(input.facts);
+    if (keeper_.holdsDuties()) release(input.facts);
     updateHolder();
     return;
   }
@@ -142,7 +142,7 @@
 }
 
 void DutyRunner::perform(const DutySteps::Nothing&, const DutyInput& input) {
-  if (keeper_.holds() && options_.ordersReplicas) orderReplicas(input);
+  if (keeper_.holdsDuties() && options_.ordersReplicas) orderReplicas(input);
 }
 
 void DutyRunner::perform(const DutySteps::Read&, const DutyInput&) {
--- a/Hallchute/src/Node/GatewayNode.cpp
+++ b/Hallchute/src/Node/GatewayNode.cpp
@@ -126,7 +126,7 @@
 
 DutyHolder GatewayNode::latestHolder(Instant now) const {
   DutyHolder latest = duties_ ? duties_->holder() : DutyHolder{};
-  for (const FleetReport* report : fleet_.reports(now)) latest.learn(report->duties);
+  for (const FleetReport* report : fleet_.reports(now)) latest.mergeNewer(report->duties);
   return latest;
 }
 
@@ -141,11 +141,11 @@
     DutyFacts& facts = input.facts;
     facts.wallClock = fleet_.clock().at(now);
     facts.known = fleet_.known(now);
-    facts.met = fleet_.hasMet(now);
+    facts.fleetDiscovered = fleet_.discoveryComplete(now);
     facts.usageComplete = fleet_.usageComplete(now);
     facts.usage = fleet_.usageElsewhere(now);
     addUsage(facts.usage, localReport_.usage);
-    facts.heard = fleet_.heardOthers(now);
+    facts.heard = fleet_.liveOthers(now);
     if (!leaving_) facts.heard[self_.daemon] = self_.incarnation;
     UpstreamLoads loads = fleet_.loadsElsewhere(now);
     for (const auto& [upstream, load] : localReport_.loads) loads[upstream] += load;
@@ -153,7 +153,7 @@
       const auto load = loads.find(record.id);
       if (load != loads.end()) input.load[record.service] += load->second.requests;
     }
-    facts.named = latestHolder(now);
+    facts.reportedHolder = latestHolder(now);
     facts.storeAge = storeCopy_.age(now);
   });
   return input;
@@ -214,13 +214,14 @@
 }
 
 void GatewayNode::updateTraffic(Instant now) {
-  FleetTold trafficView{fleet_.known(now), fleet_.loadsElsewhere(now), fleet_.quotaFleet(now),
-                        fleet_.clock().offset()};
+  FleetTrafficView trafficView{fleet_.known(now), fleet_.loadsElsewhere(now),
+                               fleet_.quotaFleet(now), fleet_.clock().offset()};
   logFleetState(trafficView, now);
-  trafficLoop_.post([this, trafficView = std::move(trafficView), stale = storeCopy_.mayBeOld(now)] {
-    engine_.setFleet(trafficView);
-    engine_.setSettingsMayBeOld(stale);
-  });
+  trafficLoop_.post(
+      [this, trafficView = std::move(trafficView), stale = storeCopy_.mayBeStale(now)] {
+        engine_.setFleet(trafficView);
+        engine_.setSettingsMayBeStale(stale);
+      });
 }
 
 /// Logs changes of the host clock's offset from the shared clock. Usage windows follow the shared
@@ -236,7 +237,7 @@
 
 /// Logs how many daemons are heard from, which determines this daemon's share of quotas and of the
 /// retry budget.
-void GatewayNode::logFleetState(const FleetTold& trafficView, Instant now) {
+void GatewayNode::logFleetState(const FleetTrafficView& trafficView, Instant now) {
   const DaemonId relay = fleet_.ownRelay(now);
   const bool changed = trafficView.quota.heard != loggedHeard_ ||
                        trafficView.known != loggedKnown_ || relay != loggedRelay_;
@@ -263,9 +264,9 @@
         .with("address", report.self.address)
         .with("incarnation", report.self.incarnation);
   }
-  if (update.spentMore.empty() && update.draining.empty()) return;
+  if (update.newlySpent.empty() && update.draining.empty()) return;
   trafficLoop_.post([this, update = std::move(update)] {
-    for (const auto& [organisation, amount] : update.spentMore) {
+    for (const auto& [organisation, amount] : update.newlySpent) {
       engine_.noteSpentElsewhere(organisation, amount);
     }
     for (const UpstreamIncarnation& upstream : update.draining) engine_.noteDraining(upstream);
@@ -302,7 +303,7 @@
   const bool removedFromBalancer = elapsed >= kBalancerRemovalTime;
   if (removedFromBalancer) {
     callerServer_.closeIdle();
-    engine_.refuseNew();
+    engine_.refuseNewRequests();
   }
   const bool idle = removedFromBalancer && engine_.sessions() == 0 && callerServer_.busy() == 0;
   if (idle || elapsed >= startup_.bounds.grace - kExitMargin) {
--- a/Hallchute/src/Node/GatewayNode.h
+++ b/Hallchute/src/Node/GatewayNode.h
@@ -66,7 +66,7 @@
   void noteEarlierSize(std::size_t daemons);
   void updateTraffic(Instant now);
   void logClockOffset(Millis hostClock, Instant now);
-  void logFleetState(const FleetTold& trafficView, Instant now);
+  void logFleetState(const FleetTrafficView& trafficView, Instant now);
   void handleReport(const FleetReport& report);
   void pollStop(Instant began);
 
--- a/Hallchute/src/Node/StoreCopy.cpp
+++ b/Hallchute/src/Node/StoreCopy.cpp
@@ -58,11 +58,11 @@
 }
 
 void StoreCopy::tick(const FleetView& fleet, FleetLink& link, Instant now) {
-  const FollowMode mode = freshness_.mode(fleet.followsStore(now), state(), now);
+  const FollowMode mode = freshness_.mode(fleet.watchesStore(now), state(), now);
   settingsFollower_.setMode(mode);
   upstreamFollower_.setMode(mode);
   const std::vector<const FleetReport*> reports = fleet.reports(now);
-  const auto address = freshness_.peerToAsk(state(), reports, now);
+  const auto address = freshness_.snapshotPeer(state(), reports, now);
   if (!address) return;
   // A pending watch may be stuck on a lost connection.
   settingsFollower_.refresh();
@@ -115,7 +115,7 @@
     LogLine(LogLevel::error, "upstreams.faulty").with("findings", describe(findings));
   }
   loop_.post([this, records = std::move(records), asOf] {
-    publishUpstreams(upstreams_.take(records, asOf, clockNow()));
+    publishUpstreams(upstreams_.update(records, asOf, clockNow()));
   });
 }
 
@@ -126,13 +126,13 @@
 void StoreCopy::handleStoreRecovery() {
   const Instant now = clockNow();
   // If the store kept responding to peers, no running upstream's entry has lapsed.
-  if (freshness_.wasAway(now)) retainLapsed(now);
+  if (freshness_.wasUnreachable(now)) retainLapsed(now);
 }
 
 void StoreCopy::retainLapsed(Instant now) {
-  if (!upstreams_.noteReturn(now)) return;
-  LogLine(LogLevel::info, "upstreams.held").with("forMs", LapsedUpstreams::kBackWithin);
-  loop_.after(LapsedUpstreams::kBackWithin,
+  if (!upstreams_.noteStoreRecovery(now)) return;
+  LogLine(LogLevel::info, "upstreams.held").with("forMs", LapsedUpstreams::kReregistrationTime);
+  loop_.after(LapsedUpstreams::kReregistrationTime,
               [this] { publishUpstreams(upstreams_.dropLapsed(clockNow())); });
 }
 
@@ -152,7 +152,7 @@
           .with("findings", describe(findings));
     }
   }
-  publishUpstreams(upstreams_.take(snapshot.upstreams, snapshot.upstreamsVersion, clockNow()));
+  publishUpstreams(upstreams_.update(snapshot.upstreams, snapshot.upstreamsVersion, clockNow()));
 }
 
 }  // namespace Hallchute
--- a/Hallchute/src/Node/StoreCopy.h
+++ b/Hallchute/src/Node/StoreCopy.h
@@ -11,7 +11,7 @@
 #include <vector>
 
 #include "Hallchute/src/Core/Time.h"
-#include "Hallchute/src/Fleet/StoreNews.h"
+#include "Hallchute/src/Fleet/StoreFreshness.h"
 #include "Hallchute/src/Fleet/UpstreamCopy.h"
 #include "Hallchute/src/Gateway/UpstreamRecord.h"
 #include "Hallchute/src/Node/FleetSnapshot.h"
@@ -54,7 +54,7 @@
   /// \brief Time since the store last responded to this daemon or to one that it has reports of.
   Millis age(Instant now) const { return freshness_.age(state(), now); }
   /// \brief Whether newer settings may exist that can't reach this daemon.
-  bool mayBeOld(Instant now) const { return freshness_.mayBeOld(state(), now); }
+  bool mayBeStale(Instant now) const { return freshness_.mayBeStale(state(), now); }
   const std::vector<UpstreamRecord>& upstreams() const { return upstreams_.upstreams(); }
 
  private:
@@ -70,7 +70,7 @@
   EventLoop& loop_;
   NodePorts ports_;
   Callbacks callbacks_;
-  StoreNews freshness_;
+  StoreFreshness freshness_;
   std::uint64_t settingsVersion_ = 0;
   std::string settingsText_;
   UpstreamCopy upstreams_;
--- a/Hallchute/src/Traffic/TrafficEngine.cpp
+++ b/Hallchute/src/Traffic/TrafficEngine.cpp
@@ -84,7 +84,7 @@
   upstreams_.noteDraining(upstream.id, upstream.incarnation);
 }
 
-void TrafficEngine::setFleet(const FleetTold& told) {
+void TrafficEngine::setFleet(const FleetTrafficView& told) {
   daemons_ = std::max<std::size_t>(1, told.known);
   clockOffset_ = told.clockOffset;
   upstreams_.setPeerLoads(told.loads);
--- a/test/TrafficContractTest.cpp
+++ b/test/TrafficContractTest.cpp
@@ -308,10 +308,10 @@
     CPPUNIT_ASSERT_MESSAGE(answer, answer.starts_with("HTTP/1.1 429"));
     CPPUNIT_ASSERT(answer.find("Retry-After: ") != std::string::npos);
     // Settings that may be old must not deny what newer ones may allow.
-    rig.loop().call([&] { rig.engine().setSettingsMayBeOld(true); });
+    rig.loop().call([&] { rig.engine().setSettingsMayBeStale(true); });
     answer = ask(requestText("GET", "Authorization: Bearer nobody\r\n"));
     CPPUNIT_ASSERT_MESSAGE(answer, answer.starts_with("HTTP/1.1 503"));
-    rig.loop().call([&] { rig.engine().refuseNew(); });
+    rig.loop().call([&] { rig.engine().refuseNewRequests(); });
     answer = ask(requestText("GET", key));
     CPPUNIT_ASSERT_MESSAGE(answer, answer.starts_with("HTTP/1.1 503"));
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, upstream.requests().size());
