--- a/Hallchute/src/Upstream/UpstreamPool.cpp
+++ b/Hallchute/src/Upstream/UpstreamPool.cpp
@@ -41,15 +41,16 @@
 UpstreamPool::~UpstreamPool() = default;
 
 std::unique_ptr<UpstreamChannel> UpstreamPool::take(const UpstreamId& upstream,
-                                                    const std::string& address, ChannelCare reuse,
-                                                    std::size_t maxOpen, Instant now) {
+                                                    const std::string& address,
+                                                    ConnectionReuse reuse, std::size_t maxOpen,
+                                                    Instant now) {
   Entry& entry = entries_[upstream];
   // The most recently used connection is the least likely to have been closed by the upstream.
   while (!entry.idle.empty()) {
     Idle idle = std::move(entry.idle.back());
     entry.idle.pop_back();
     const Millis limit =
-        reuse == ChannelCare::sure ? safeReuseTime(*idle.channel) : keepTime(*idle.channel);
+        reuse == ConnectionReuse::safe ? safeReuseTime(*idle.channel) : keepTime(*idle.channel);
     if (now - idle.idleSince < limit && idle.channel->quiet()) {
       idle.channel->onIdleClosed = nullptr;
       return std::move(idle.channel);
@@ -64,8 +65,8 @@
   return std::make_unique<UpstreamChannel>(loop_, address, source_, kConnectLimit);
 }
 
-void UpstreamPool::giveBack(const UpstreamId& upstream, std::unique_ptr<UpstreamChannel> channel,
-                            Instant now) {
+void UpstreamPool::release(const UpstreamId& upstream, std::unique_ptr<UpstreamChannel> channel,
+                           Instant now) {
   const auto it = entries_.find(upstream);
   if (it == entries_.end() || !channel->reusable()) {
     discard(upstream, std::move(channel));
@@ -110,7 +111,7 @@
   loop_.post([gone] {});
 }
 
-void UpstreamPool::forget(const UpstreamId& upstream) {
+void UpstreamPool::closeIdle(const UpstreamId& upstream) {
   const auto it = entries_.find(upstream);
   if (it == entries_.end()) return;
   std::vector<Idle> idle = std::move(it->second.idle);
--- a/Hallchute/src/Upstream/UpstreamPool.h
+++ b/Hallchute/src/Upstream/UpstreamPool.h
@@ -20,11 +20,11 @@
 class UpstreamChannel;
 
 /// \brief Which idle connections a request may reuse. \ingroup Upstream
-enum class ChannelCare {
+enum class ConnectionReuse {
   /// Any that is still kept: the request can be retried if the upstream has closed the connection.
   any,
   /// Only one that is not close to its idle timeout: the request must not be retried.
-  sure,
+  safe,
 };
 
 /// \brief A pool of persistent connections to upstreams. Traffic thread only.
@@ -41,13 +41,13 @@
 
   /// \brief Returns an idle connection or a new one; null if \p maxOpen are open and none is idle.
   std::unique_ptr<UpstreamChannel> take(const UpstreamId& upstream, const std::string& address,
-                                        ChannelCare reuse, std::size_t maxOpen, Instant now);
+                                        ConnectionReuse reuse, std::size_t maxOpen, Instant now);
   /// \brief Returns a connection to the pool after an exchange; closes it if it isn't reusable.
-  void giveBack(const UpstreamId& upstream, std::unique_ptr<UpstreamChannel> channel, Instant now);
+  void release(const UpstreamId& upstream, std::unique_ptr<UpstreamChannel> channel, Instant now);
   /// \brief Resets a connection and removes it from the pool.
   void discard(const UpstreamId& upstream, std::unique_ptr<UpstreamChannel> channel);
   /// \brief Closes the idle connections of an upstream that was removed.
-  void forget(const UpstreamId& upstream);
+  void closeIdle(const UpstreamId& upstream);
   /// \brief Closes connections that have been idle for too long.
   void sweep(Instant now);
 
