--- a/Hallchute/src/Daemon/CallerRequest.cpp
+++ b/Hallchute/src/Daemon/CallerRequest.cpp
@@ -18,11 +18,11 @@
 namespace Hallchute {
 namespace {
 
-constexpr std::string_view kBearer = "Bearer ";
-constexpr std::size_t kReadSize = 16U << 10U;
-constexpr Millis kDrainRetryAfter{1'000};
+constexpr std::string_view kBearerPrefix = "Bearer ";
+constexpr std::size_t kReadBufferBytes = 16U << 10U;
+constexpr Millis kDrainingRetryAfter{1'000};
 
-Refusal plainRefusal(RefusalReason reason, std::string detail) {
+Refusal notRunRefusal(RefusalReason reason, std::string detail) {
   return {reason, std::move(detail), RunOutcome::notRun, std::nullopt};
 }
 
@@ -39,11 +39,11 @@
   const std::string value = request.get("Authorization", "");
   Caller caller;
   caller.settings = services.context.settings.get();
-  if (value.rfind(kBearer, 0) == 0) {
-    caller.organisation = caller.settings->tree.organisationOf(value.substr(kBearer.size()));
+  if (value.rfind(kBearerPrefix, 0) == 0) {
+    caller.organisation = caller.settings->tree.organisationOf(value.substr(kBearerPrefix.size()));
   }
   if (caller.organisation == nullptr) {
-    return plainRefusal(RefusalReason::unauthorised, "the bearer token is no organisation's");
+    return notRunRefusal(RefusalReason::unauthorised, "the bearer token is no organisation's");
   }
   return caller;
 }
@@ -53,10 +53,10 @@
   const auto& services = caller.settings->tree.services;
   const auto it = services.find(service);
   if (it == services.end() || it->second.kind != kind) {
-    return plainRefusal(RefusalReason::notFound, "there is no such service: " + service.str());
+    return notRunRefusal(RefusalReason::notFound, "there is no such service: " + service.str());
   }
   if (!caller.organisation->services.contains(service)) {
-    return plainRefusal(RefusalReason::forbidden, "the organisation may not use this service");
+    return notRunRefusal(RefusalReason::forbidden, "the organisation may not use this service");
   }
   return std::nullopt;
 }
@@ -64,41 +64,43 @@
 std::variant<const WorkClass*, Refusal> classOf(const Poco::Net::HTTPServerRequest& request,
                                                 const Caller& caller, const ServiceName& service) {
   const SettingsTree& tree = caller.settings->tree;
-  const ClassName named(request.get("Hallchute-Class", ""));
-  const ClassName& name = named.empty() ? tree.services.at(service).defaultClass : named;
+  const ClassName requestedName(request.get("Hallchute-Class", ""));
+  const ClassName& name =
+      requestedName.empty() ? tree.services.at(service).defaultClass : requestedName;
   const auto it = tree.workClasses.find(name);
   if (it == tree.workClasses.end()) {
-    return plainRefusal(RefusalReason::badRequest,
-                        "Hallchute-Class names no work class: " + name.str());
+    return notRunRefusal(RefusalReason::badRequest,
+                         "Hallchute-Class names no work class: " + name.str());
   }
   return &it->second;
 }
 
 std::variant<std::string, Refusal> readBody(Poco::Net::HTTPServerRequest& request,
-                                            std::size_t most) {
-  const Refusal tooLarge = plainRefusal(
-      RefusalReason::tooLarge, "the body is larger than " + std::to_string(most) + " bytes");
-  if (request.hasContentLength() && request.getContentLength64() > static_cast<Poco::Int64>(most)) {
+                                            std::size_t maxBytes) {
+  const Refusal tooLarge = notRunRefusal(
+      RefusalReason::tooLarge, "the body is larger than " + std::to_string(maxBytes) + " bytes");
+  if (request.hasContentLength() &&
+      request.getContentLength64() > static_cast<Poco::Int64>(maxBytes)) {
     return tooLarge;
   }
   std::string body;
-  std::array<char, kReadSize> buffer;
+  std::array<char, kReadBufferBytes> buffer;
   std::istream& in = request.stream();
   while (in.good()) {
     in.read(buffer.data(), static_cast<std::streamsize>(buffer.size()));
     body.append(buffer.data(), static_cast<std::size_t>(in.gcount()));
-    if (body.size() > most) return tooLarge;
+    if (body.size() > maxBytes) return tooLarge;
   }
-  const bool cut = request.hasContentLength() &&
-                   static_cast<Poco::Int64>(body.size()) < request.getContentLength64();
-  if (cut) return plainRefusal(RefusalReason::badRequest, "the body was cut short");
+  const bool truncated = request.hasContentLength() &&
+                         static_cast<Poco::Int64>(body.size()) < request.getContentLength64();
+  if (truncated) return notRunRefusal(RefusalReason::badRequest, "the body was cut short");
   return body;
 }
 
 std::optional<Refusal> closedRefusal(const CallerServices& services) {
-  if (!services.closed) return std::nullopt;
+  if (!services.rejectsNewRequests) return std::nullopt;
   return Refusal{RefusalReason::draining, "this host stops; another will answer",
-                 RunOutcome::notRun, kDrainRetryAfter};
+                 RunOutcome::notRun, kDrainingRetryAfter};
 }
 
 }  // namespace Hallchute
--- a/Hallchute/src/Daemon/CallerRequest.h
+++ b/Hallchute/src/Daemon/CallerRequest.h
@@ -21,19 +21,19 @@
 
 struct CallerServices;
 
-/// \brief Who calls, with the settings that were in force when the call came.
+/// \brief An authenticated caller, with the settings in force when the request arrived.
 /// \ingroup Daemon
 struct Caller {
   std::shared_ptr<const SettingsInForce> settings;
   const Organisation* organisation = nullptr;
 };
 
-/// \brief Lets small pieces of the answer leave at once, instead of waiting for the caller's
-/// acknowledgement of the piece before.
+/// \brief Disables Nagle's algorithm, so that small writes are not delayed until the caller has
+/// acknowledged the previous one.
 /// \ingroup Daemon
 void sendWithoutDelay(Poco::Net::HTTPServerRequest& request);
 
-/// \brief Checks the bearer token.
+/// \brief Determines the organisation from the bearer token.
 /// \ingroup Daemon
 std::variant<Caller, Refusal> authorise(const Poco::Net::HTTPServerRequest& request,
                                         const CallerServices& services);
@@ -43,17 +43,17 @@
 std::optional<Refusal> checkService(const Caller& caller, const ServiceName& service,
                                     ServiceKind kind);
 
-/// \brief The class that the request names in `Hallchute-Class`, else the service's default.
+/// \brief The work class given in the header `Hallchute-Class`, or else the service's default.
 /// \ingroup Daemon
 std::variant<const WorkClass*, Refusal> classOf(const Poco::Net::HTTPServerRequest& request,
                                                 const Caller& caller, const ServiceName& service);
 
-/// \brief Reads a body of at most \p most bytes.
+/// \brief Reads a body of at most \p maxBytes bytes.
 /// \ingroup Daemon
 std::variant<std::string, Refusal> readBody(Poco::Net::HTTPServerRequest& request,
-                                            std::size_t most);
+                                            std::size_t maxBytes);
 
-/// \brief The refusal of a daemon that takes no new requests, if it is one.
+/// \brief The refusal of a new request if this daemon accepts none because it is draining.
 /// \ingroup Daemon
 std::optional<Refusal> closedRefusal(const CallerServices& services);
 
--- a/Hallchute/src/Daemon/CallerServer.cpp
+++ b/Hallchute/src/Daemon/CallerServer.cpp
@@ -18,15 +18,15 @@
 namespace Hallchute {
 namespace {
 
-/// Callers that may connect at the same moment.
+/// Listen backlog: connections that may be waiting to be accepted.
 constexpr int kBacklog = 1'024;
 constexpr int kIdleThreadSeconds = 30;
-/// A caller that sends nothing for so long is let go.
-constexpr int kSilenceSeconds = 10;
+/// The connection of a caller that sends nothing for this long is closed.
+constexpr int kReceiveTimeoutSeconds = 10;
 constexpr std::string_view kServicePrefix = "/v1/services/";
 constexpr std::string_view kRequestPathPrefix = "/v1/requests/";
 
-/// Answers what no other handler does.
+/// Answers requests for paths that no other handler serves.
 class UnknownPathHandler final : public Poco::Net::HTTPRequestHandler {
  public:
   void handleRequest(Poco::Net::HTTPServerRequest& request,
@@ -56,16 +56,16 @@
     if (path.rfind(kRequestPathPrefix, 0) == 0) {
       return new RequestHandler(services_, path.substr(kRequestPathPrefix.size()));
     }
-    if (path.rfind(kServicePrefix, 0) == 0) return plain(target.substr(kServicePrefix.size()));
+    if (path.rfind(kServicePrefix, 0) == 0) return makePlain(target.substr(kServicePrefix.size()));
     return new UnknownPathHandler;
   }
 
  private:
-  Poco::Net::HTTPRequestHandler* plain(const std::string& rest) {
-    const std::size_t slash = rest.find('/');
-    const std::string service = rest.substr(0, slash);
+  Poco::Net::HTTPRequestHandler* makePlain(const std::string& serviceAndPath) {
+    const std::size_t slash = serviceAndPath.find('/');
+    const std::string service = serviceAndPath.substr(0, slash);
     return new PlainHandler(services_, service,
-                            slash == std::string::npos ? "/" : rest.substr(slash));
+                            slash == std::string::npos ? "/" : serviceAndPath.substr(slash));
   }
 
   CallerServices& services_;
@@ -81,9 +81,9 @@
   Poco::Net::HTTPServerParams::Ptr params = new Poco::Net::HTTPServerParams;
   params->setMaxThreads(maxConnections);
   params->setMaxQueued(maxConnections);
-  params->setTimeout(Poco::Timespan(kSilenceSeconds, 0));
-  // Handlers may answer before they have read a body, and the library would then read it as the
-  // next request: no connection carries a second one.
+  params->setTimeout(Poco::Timespan(kReceiveTimeoutSeconds, 0));
+  // A handler may answer before it has read the body, which Poco would then parse as the next
+  // request. Connections are therefore not reused.
   params->setKeepAlive(false);
   server_ = std::make_unique<Poco::Net::HTTPServer>(new HandlerFactory(services), threads_, socket,
                                                     params);
--- a/Hallchute/src/Daemon/CallerServer.h
+++ b/Hallchute/src/Daemon/CallerServer.h
@@ -18,7 +18,7 @@
 
 struct CallerServices;
 
-/// \brief The HTTP server that callers reach: a thread for each connection.
+/// \brief The HTTP server for callers, with one thread per connection.
 /// \ingroup Daemon
 class CallerServer {
  public:
@@ -28,7 +28,7 @@
   CallerServer& operator=(const CallerServer&) = delete;
 
   void start();
-  /// \brief Takes no more connections; those open go on.
+  /// \brief Accepts no more connections; open ones are still served.
   void stopAccepting();
   int connections() const;
 
--- a/Hallchute/src/Daemon/CallerServices.h
+++ b/Hallchute/src/Daemon/CallerServices.h
@@ -14,7 +14,7 @@
 class PeerJobs;
 struct TrafficContext;
 
-/// \brief What the handlers of callers' requests use.
+/// \brief The services shared by the handlers of callers' requests.
 /// \ingroup Daemon
 struct CallerServices {
   TrafficContext& context;
@@ -22,11 +22,12 @@
   JobRecords& records;
   PeerJobs& peers;
   OnceKeeper& keeper;
-  /// Set when the daemon begins to stop: the balancer is told to send callers elsewhere.
+  /// Set when the daemon begins to drain: readiness checks fail from then on, so that the load
+  /// balancer routes callers to other daemons.
   std::atomic<bool> draining{false};
-  /// Set a moment later: new requests are refused.
-  std::atomic<bool> closed{false};
-  /// Calls to plain services that run now.
+  /// Set once the load balancer has had time to react: new requests are refused.
+  std::atomic<bool> rejectsNewRequests{false};
+  /// Calls to plain services in progress.
   std::atomic<int> plainCalls{0};
 };
 
--- a/Hallchute/src/Daemon/CompletionBody.cpp
+++ b/Hallchute/src/Daemon/CompletionBody.cpp
@@ -10,7 +10,7 @@
 namespace Hallchute {
 namespace {
 
-constexpr std::int64_t kDefaultTokens = 256;
+constexpr std::int64_t kDefaultMaxTokens = 256;
 
 std::string readMessages(const JsonObject& json, JsonReader& reader) {
   std::string prompt;
@@ -21,10 +21,10 @@
   const auto messages = json->getArray("messages");
   if (messages->size() == 0) reader.report("messages", "must not be empty");
   for (unsigned i = 0; i < messages->size(); ++i) {
-    const std::string place = "messages/" + std::to_string(i);
+    const std::string path = "messages/" + std::to_string(i);
     const JsonObject message = messages->isObject(i) ? messages->getObject(i) : JsonObject();
     if (!message || !message->get("role").isString() || !message->get("content").isString()) {
-      reader.report(place, "must be an object with the strings role and content");
+      reader.report(path, "must be an object with the strings role and content");
       continue;
     }
     prompt += message->getValue<std::string>("role") + ": " +
@@ -43,9 +43,9 @@
   JsonReader reader(json, "", findings);
   body.service = ServiceName(reader.text("model", true));
   body.prompt = chat ? readMessages(json, reader) : reader.text("prompt", true);
-  const auto most = static_cast<std::int64_t>(maxTokens);
+  const auto upperBound = static_cast<std::int64_t>(maxTokens);
   body.maxTokens = static_cast<std::size_t>(
-      reader.integer("max_tokens", 1, most, std::min(most, kDefaultTokens)));
+      reader.integer("max_tokens", 1, upperBound, std::min(upperBound, kDefaultMaxTokens)));
   body.stream = reader.boolean("stream", false);
   body.session = reader.text("user", false);
   return body;
--- a/Hallchute/src/Daemon/CompletionBody.h
+++ b/Hallchute/src/Daemon/CompletionBody.h
@@ -13,19 +13,19 @@
 
 namespace Hallchute {
 
-/// \brief What hallchute reads of a completion request; members it does not know are let through
-/// unread, as other servers of this interface do.
+/// \brief The members of a completion request that hallchute uses; unknown members are ignored, as
+/// other servers of this API do.
 /// \ingroup Daemon
 struct CompletionBody {
   ServiceName service;
   std::string prompt;
   std::size_t maxTokens = 0;
   bool stream = false;
-  /// `user`: what ties requests of one session together.
+  /// The member `user`: requests with the same value belong to one session.
   std::string session;
 };
 
-/// \brief Reads the body of `/v1/chat/completions` or `/v1/completions`.
+/// \brief Parses the body of `/v1/chat/completions` or `/v1/completions`.
 /// \ingroup Daemon
 CompletionBody readCompletionBody(std::string_view text, bool chat, std::size_t maxTokens,
                                   Findings& findings);
--- a/Hallchute/src/Daemon/CompletionHandler.cpp
+++ b/Hallchute/src/Daemon/CompletionHandler.cpp
@@ -23,7 +23,7 @@
 
 constexpr Millis kPlatformRetryAfter{1'000};
 
-Refusal badBody(const Findings& findings) {
+Refusal invalidBodyRefusal(const Findings& findings) {
   return {RefusalReason::badRequest, describe(findings), RunOutcome::notRun, std::nullopt};
 }
 
@@ -31,13 +31,13 @@
   return request.get("Prefer", "").find("respond-async") != std::string::npos;
 }
 
-/// Counts a reader of a job while it lives.
-class Reading {
+/// Registers a reader of a job for its own lifetime.
+class ScopedReader {
  public:
-  explicit Reading(Job& job) : job_(job) { job_.attach(); }
-  ~Reading() { job_.detach(clockNow()); }
-  Reading(const Reading&) = delete;
-  Reading& operator=(const Reading&) = delete;
+  explicit ScopedReader(Job& job) : job_(job) { job_.attach(); }
+  ~ScopedReader() { job_.detach(clockNow()); }
+  ScopedReader(const ScopedReader&) = delete;
+  ScopedReader& operator=(const ScopedReader&) = delete;
 
  private:
   Job& job_;
@@ -48,27 +48,27 @@
 void CompletionHandler::handleRequest(Poco::Net::HTTPServerRequest& request,
                                       Poco::Net::HTTPServerResponse& response) {
   sendWithoutDelay(request);
-  request_ = services_.context.daemon.str() + "-" + randomName();
-  response.set("Hallchute-Request", request_);
+  requestId_ = services_.context.daemon.str() + "-" + randomName();
+  response.set("Hallchute-Request", requestId_);
   if (services_.draining) response.setKeepAlive(false);
   const std::optional<Refusal> refusal = handle(request, response);
-  const std::string word = refusal ? std::string(reasonWord(refusal->reason)) : "served";
+  const std::string result = refusal ? std::string(reasonWord(refusal->reason)) : "served";
   services_.context.metrics.add("hallchute_requests_total",
-                                "kind=\"model\",result=\"" + word + "\"");
-  if (refusal) sendProblem(response, *refusal, request_);
+                                "kind=\"model\",result=\"" + result + "\"");
+  if (refusal) sendProblem(response, *refusal, requestId_);
 }
 
 std::optional<Refusal> CompletionHandler::handle(Poco::Net::HTTPServerRequest& request,
                                                  Poco::Net::HTTPServerResponse& response) {
-  if (auto closed = closedRefusal(services_)) return closed;
+  if (auto rejected = closedRefusal(services_)) return rejected;
   const auto caller = authorise(request, services_);
   if (const auto* refusal = std::get_if<Refusal>(&caller)) return *refusal;
-  const auto wish = readWish(request, std::get<Caller>(caller));
-  if (const auto* refusal = std::get_if<Refusal>(&wish)) return *refusal;
-  return serve(request, response, std::get<Caller>(caller), std::get<CompletionBody>(wish));
+  const auto completion = readCompletion(request, std::get<Caller>(caller));
+  if (const auto* refusal = std::get_if<Refusal>(&completion)) return *refusal;
+  return serve(request, response, std::get<Caller>(caller), std::get<CompletionBody>(completion));
 }
 
-std::variant<CompletionBody, Refusal> CompletionHandler::readWish(
+std::variant<CompletionBody, Refusal> CompletionHandler::readCompletion(
     Poco::Net::HTTPServerRequest& request, const Caller& caller) const {
   const SettingsTree& tree = caller.settings->tree;
   PolicyScope scope{services_.context.domain, ServiceName(), caller.organisation->name};
@@ -78,7 +78,7 @@
   const auto maxTokens = static_cast<std::size_t>(tree.policy(PolicyKey::maxOutputTokens, scope));
   Findings findings;
   CompletionBody body = readCompletionBody(std::get<std::string>(text), chat_, maxTokens, findings);
-  if (!findings.empty()) return badBody(findings);
+  if (!findings.empty()) return invalidBodyRefusal(findings);
   if (auto refusal = checkService(caller, body.service, ServiceKind::model)) return *refusal;
   return body;
 }
@@ -88,42 +88,43 @@
                                                 const Caller& caller, const CompletionBody& body) {
   const auto workClass = classOf(request, caller, body.service);
   if (const auto* refusal = std::get_if<Refusal>(&workClass)) return *refusal;
-  GenerationWish wish;
-  wish.workClass = std::get<const WorkClass*>(workClass);
-  if (!wish.workClass->repeatable) {
+  GenerationWish generation;
+  generation.workClass = std::get<const WorkClass*>(workClass);
+  if (!generation.workClass->repeatable) {
     return Refusal{RefusalReason::badRequest,
                    "work that must not repeat goes to plain services only", RunOutcome::notRun,
                    std::nullopt};
   }
-  wish.request = RequestId(request_);
-  wish.organisation = caller.organisation;
-  wish.service = body.service;
-  wish.chat = chat_;
-  wish.durable = wish.workClass->durable;
-  wish.prompt = body.prompt;
-  wish.maxTokens = body.maxTokens;
-  wish.session = request.get("Hallchute-Session", body.session);
+  generation.request = RequestId(requestId_);
+  generation.organisation = caller.organisation;
+  generation.service = body.service;
+  generation.chat = chat_;
+  generation.durable = generation.workClass->durable;
+  generation.prompt = body.prompt;
+  generation.maxTokens = body.maxTokens;
+  generation.session = request.get("Hallchute-Session", body.session);
   const bool async = wantsAsync(request);
-  wish.durable = wish.durable || async;
-  auto job =
-      std::make_shared<Job>(makeJobSpec(wish, caller.settings->tree, services_.context.domain));
-  if (wish.durable && !services_.records.create(*job)) {
-    if (async || !wish.workClass->serveWithoutRecord) {
+  generation.durable = generation.durable || async;
+  auto job = std::make_shared<Job>(
+      makeJobSpec(generation, caller.settings->tree, services_.context.domain));
+  if (generation.durable && !services_.records.create(*job)) {
+    if (async || !generation.workClass->serveWithoutRecord) {
       return Refusal{RefusalReason::platformOut, "the request's record can't be written",
                      RunOutcome::notRun, kPlatformRetryAfter};
     }
-    wish.durable = false;
-    job = std::make_shared<Job>(makeJobSpec(wish, caller.settings->tree, services_.context.domain));
+    generation.durable = false;
+    job = std::make_shared<Job>(
+        makeJobSpec(generation, caller.settings->tree, services_.context.domain));
   }
   services_.starter.start(job);
   if (async) {
     response.setStatusAndReason(Poco::Net::HTTPResponse::HTTP_ACCEPTED);
-    response.set("Location", "/v1/requests/" + request_);
+    response.set("Location", "/v1/requests/" + requestId_);
     response.setContentLength(0);
     response.send();
     return std::nullopt;
   }
-  const Reading reading(*job);
+  const ScopedReader reader(*job);
   AnswerWriter writer(response, job);
   if (body.stream) {
     writer.stream(0);
--- a/Hallchute/src/Daemon/CompletionHandler.h
+++ b/Hallchute/src/Daemon/CompletionHandler.h
@@ -28,15 +28,15 @@
  private:
   std::optional<Refusal> handle(Poco::Net::HTTPServerRequest& request,
                                 Poco::Net::HTTPServerResponse& response);
-  std::variant<CompletionBody, Refusal> readWish(Poco::Net::HTTPServerRequest& request,
-                                                 const Caller& caller) const;
+  std::variant<CompletionBody, Refusal> readCompletion(Poco::Net::HTTPServerRequest& request,
+                                                       const Caller& caller) const;
   std::optional<Refusal> serve(Poco::Net::HTTPServerRequest& request,
                                Poco::Net::HTTPServerResponse& response, const Caller& caller,
                                const CompletionBody& body);
 
   CallerServices& services_;
   bool chat_;
-  std::string request_;
+  std::string requestId_;
 };
 
 }  // namespace Hallchute
