--- a/Hallchute/src/Daemon/AnswerRunner.cpp
+++ b/Hallchute/src/Daemon/AnswerRunner.cpp
@@ -19,12 +19,12 @@
 namespace Hallchute {
 namespace {
 
-constexpr Millis kLeastPause{50};
-constexpr Millis kMostPause{1'000};
+constexpr Millis kMinRetryDelay{50};
+constexpr Millis kMaxRetryDelay{1'000};
 constexpr double kPercent = 100;
-constexpr std::size_t kMostAvoided = 8;
+constexpr std::size_t kMaxExcludedUpstreams = 8;
 
-std::int64_t policyNumber(const TrafficContext& context, const JobSpec& spec, PolicyKey key) {
+std::int64_t policyValue(const TrafficContext& context, const JobSpec& spec, PolicyKey key) {
   const PolicyScope scope{context.domain, spec.service, spec.organisation};
   return context.settings.get()->tree.policy(key, scope);
 }
@@ -34,7 +34,7 @@
 AnswerRunner::AnswerRunner(TrafficContext& context, std::shared_ptr<Job> job)
     : context_(context), job_(std::move(job)) {}
 
-std::string AnswerRunner::labels() const {
+std::string AnswerRunner::metricLabels() const {
   return "service=\"" + job_->spec().service.str() + "\",class=\"" + job_->spec().workClass.str() +
          "\"";
 }
@@ -48,17 +48,17 @@
   const LogContext organisation("organisation", job_->spec().organisation.str());
   const LogContext service("service", job_->spec().service.str());
   const double ratio =
-      static_cast<double>(policyNumber(context_, job_->spec(), PolicyKey::retryBudgetPercent)) /
+      static_cast<double>(policyValue(context_, job_->spec(), PolicyKey::retryBudgetPercent)) /
       kPercent;
   context_.budgets.recordFirstAttempt(job_->spec().service, ratio);
   resumption_ = job_->tokenCount() > 0;
-  while (step() == Next::again) {
+  while (step() == Next::proceed) {
   }
 }
 
 AnswerRunner::Next AnswerRunner::step() {
   if (job_->order() == JobOrder::cancel) {
-    job_->refuse(lastRefusal(RefusalReason::badRequest, "cancelled by its caller"));
+    job_->refuse(makeRefusal(RefusalReason::badRequest, "cancelled by its caller"));
     return Next::done;
   }
   if (job_->order() == JobOrder::pause) {
@@ -67,15 +67,15 @@
   }
   if (job_->order() == JobOrder::move) job_->takeMove();
   if (clockNow() >= job_->spec().deadline) {
-    job_->refuse(lastRefusal(RefusalReason::upstreamFailed, "requestLimitMs has passed"));
+    job_->refuse(makeRefusal(RefusalReason::upstreamFailed, "requestLimitMs has passed"));
     return Next::done;
   }
-  GrantOutcome outcome = context_.acquire(makeSpec());
-  if (const auto* refusal = std::get_if<Refusal>(&outcome)) return onRefused(*refusal);
-  return attempt(*std::get<std::unique_ptr<GrantHold>>(outcome));
+  GrantOutcome outcome = context_.acquire(makeGrantSpec());
+  if (const auto* refusal = std::get_if<Refusal>(&outcome)) return onGrantRefused(*refusal);
+  return runAttempt(*std::get<std::unique_ptr<GrantHold>>(outcome));
 }
 
-GrantSpec AnswerRunner::makeSpec() const {
+GrantSpec AnswerRunner::makeGrantSpec() const {
   const JobSpec& job = job_->spec();
   GrantSpec spec;
   spec.service = job.service;
@@ -86,25 +86,26 @@
   spec.wanted.expectedTokens = job.maxTokens - std::min(job.maxTokens, job_->tokenCount());
   spec.wanted.affinity = job.affinity;
   spec.wanted.prefixHashes = job.prefixHashes;
-  spec.wanted.avoid = avoid_;
+  spec.wanted.avoid = excluded_;
   spec.wanted.resumption = resumption_;
   spec.wanted.deadline = std::min(clockNow() + job.queueLimit, job.deadline);
   return spec;
 }
 
-AnswerRunner::Next AnswerRunner::onRefused(const Refusal& refusal) {
+AnswerRunner::Next AnswerRunner::onGrantRefused(const Refusal& refusal) {
   if (!accepted()) {
     Refusal last = refusal;
     if (dispatched_) last.outcome = RunOutcome::unknown;
     job_->refuse(last);
     return Next::done;
   }
-  // An accepted request waits for a place as long as its deadline allows.
-  job_->pauseFor(std::clamp(refusal.retryAfter.value_or(kMostPause), kLeastPause, kMostPause));
-  return Next::again;
+  // An accepted request waits for a grant until its deadline.
+  job_->pauseFor(
+      std::clamp(refusal.retryAfter.value_or(kMaxRetryDelay), kMinRetryDelay, kMaxRetryDelay));
+  return Next::proceed;
 }
 
-Refusal AnswerRunner::lastRefusal(RefusalReason reason, std::string detail) const {
+Refusal AnswerRunner::makeRefusal(RefusalReason reason, std::string detail) const {
   RunOutcome outcome = RunOutcome::notRun;
   if (dispatched_) outcome = RunOutcome::unknown;
   if (job_->tokenCount() > 0) outcome = RunOutcome::ran;
@@ -120,125 +121,129 @@
   request.maxTokens = job.maxTokens;
   request.tokensSoFar = job_->tokens();
   request.priority = job.priority;
-  if (!cache_.empty()) request.cacheHandle = engine.importCache(cache_);
-  cache_.clear();
+  if (!exportedCache_.empty()) request.cacheHandle = engine.importCache(exportedCache_);
+  exportedCache_.clear();
   return request;
 }
 
-AnswerRunner::Next AnswerRunner::attempt(GrantHold& hold) {
-  EngineHttp engine(hold.address(), context_.ownIp,
-                    Millis(policyNumber(context_, job_->spec(), PolicyKey::connectLimitMs)));
-  const std::uint64_t epoch = job_->beginAttempt(hold.upstream());
+AnswerRunner::Next AnswerRunner::runAttempt(GrantHold& grant) {
+  EngineHttp engine(grant.address(), context_.ownIp,
+                    Millis(policyValue(context_, job_->spec(), PolicyKey::connectLimitMs)));
+  const std::uint64_t epoch = job_->beginAttempt(grant.upstream());
   const GenerateRequest request = makeRequest(engine, epoch);
-  gap_ = false;
-  lastToken_ = Instant{};
-  const Millis stall(policyNumber(context_, job_->spec(), PolicyKey::stallLimitMs));
+  offsetGap_ = false;
+  lastTokenAt_ = Instant{};
+  const Millis stallLimit(policyValue(context_, job_->spec(), PolicyKey::stallLimitMs));
   const StreamResult result = engine.generate(
-      request, stall, [&](const EngineEvent& event) { return onEvent(event, hold); });
-  return afterStream(hold, engine, epoch, result);
+      request, stallLimit, [&](const EngineEvent& event) { return onEvent(event, grant); });
+  return afterStream(grant, engine, epoch, result);
 }
 
-bool AnswerRunner::onEvent(const EngineEvent& event, const GrantHold& hold) {
+bool AnswerRunner::onEvent(const EngineEvent& event, const GrantHold& grant) {
   dispatched_ = true;
   std::visit(
-      Overloaded{[&](const ComputedWord& word) {
-                   // What an earlier attempt had computed already counts as lost.
+      Overloaded{[&](const ComputedWord& computed) {
+                   // Tokens that an earlier attempt had already computed are lost work.
                    if (resumption_) {
-                     context_.metrics.add("hallchute_recomputed_tokens_total", labels(),
-                                          word.tokens);
+                     context_.metrics.add("hallchute_recomputed_tokens_total", metricLabels(),
+                                          computed.tokens);
                    }
                  },
-                 [&](const LeavingWord& word) {
-                   context_.noteLeave({hold.upstream(), word.leavesIn, LeaveSource::upstream});
+                 [&](const LeavingWord& leave) {
+                   context_.noteLeave({grant.upstream(), leave.leavesIn, LeaveSource::upstream});
                  },
                  [&](const AnswerChunk& chunk) {
-                   const ChunkResult verdict = job_->accept(chunk);
-                   finished_ = verdict == ChunkResult::finished;
-                   gap_ = verdict == ChunkResult::gap;
-                   if (verdict == ChunkResult::appended) {
-                     if (lastToken_ == Instant{}) hold.noteFirstToken();
-                     noteToken();
+                   const ChunkResult chunkResult = job_->accept(chunk);
+                   finished_ = chunkResult == ChunkResult::finished;
+                   offsetGap_ = chunkResult == ChunkResult::gap;
+                   if (chunkResult == ChunkResult::appended) {
+                     if (lastTokenAt_ == Instant{}) grant.noteFirstToken();
+                     recordTokenMetrics();
                    }
-                   if (verdict == ChunkResult::otherEpoch || verdict == ChunkResult::duplicate) {
-                     context_.metrics.add("hallchute_chunks_dropped_total", labels());
+                   if (chunkResult == ChunkResult::otherEpoch ||
+                       chunkResult == ChunkResult::duplicate) {
+                     context_.metrics.add("hallchute_chunks_dropped_total", metricLabels());
                    }
                  }},
       event);
   resumption_ = resumption_ || job_->tokenCount() > 0;
   if (clockNow() >= job_->spec().deadline) return false;
-  return !finished_ && !gap_ && job_->order() == JobOrder::none;
+  return !finished_ && !offsetGap_ && job_->order() == JobOrder::none;
 }
 
-void AnswerRunner::noteToken() {
+void AnswerRunner::recordTokenMetrics() {
   const Instant now = clockNow();
-  context_.metrics.add("hallchute_tokens_total", labels());
+  context_.metrics.add("hallchute_tokens_total", metricLabels());
   if (job_->tokenCount() == 1) {
-    context_.metrics.time("hallchute_first_token_ms", labels(), now - job_->spec().accepted);
-  } else if (lastToken_ != Instant{}) {
-    context_.metrics.time("hallchute_token_gap_ms", labels(), now - lastToken_);
+    context_.metrics.time("hallchute_first_token_ms", metricLabels(), now - job_->spec().accepted);
+  } else if (lastTokenAt_ != Instant{}) {
+    context_.metrics.time("hallchute_token_gap_ms", metricLabels(), now - lastTokenAt_);
   }
-  lastToken_ = now;
+  lastTokenAt_ = now;
 }
 
-AnswerRunner::Next AnswerRunner::afterStream(GrantHold& hold, EnginePort& engine,
+AnswerRunner::Next AnswerRunner::afterStream(GrantHold& grant, EnginePort& engine,
                                              std::uint64_t epoch, const StreamResult& result) {
   if (finished_) {
-    hold.end(GrantEnd::finished);
+    grant.end(GrantEnd::finished);
     job_->finish();
     return Next::done;
   }
-  if (result.end == StreamEnd::stopped && !gap_) return onOrder(hold, engine, epoch);
-  return onFailure(hold, result);
+  if (result.end == StreamEnd::stopped && !offsetGap_) return onOrder(grant, engine, epoch);
+  return onFailure(grant, result);
 }
 
-AnswerRunner::Next AnswerRunner::onOrder(GrantHold& hold, EnginePort& engine, std::uint64_t epoch) {
+AnswerRunner::Next AnswerRunner::onOrder(GrantHold& grant, EnginePort& engine,
+                                         std::uint64_t epoch) {
   const std::string request = job_->spec().request.str();
   if (job_->order() == JobOrder::move) {
     const Migration migration = job_->takeMove();
-    const bool moves = std::holds_alternative<MoveCache>(migration);
-    if (moves) cache_ = engine.exportCache(request, epoch);
-    if (cache_.empty()) engine.cancel(request, epoch);
+    const bool transfersCache = std::holds_alternative<MoveCache>(migration);
+    if (transfersCache) exportedCache_ = engine.exportCache(request, epoch);
+    if (exportedCache_.empty()) engine.cancel(request, epoch);
     context_.metrics.add("hallchute_moves_total",
-                         cache_.empty() ? "way=\"recompute\"" : "way=\"cache\"");
-    avoid_.push_back(hold.upstream());
+                         exportedCache_.empty() ? "way=\"recompute\"" : "way=\"cache\"");
+    excluded_.push_back(grant.upstream());
     resumption_ = true;
-    logLine(LogLevel::info, "moved away from " + hold.upstream().str());
+    logLine(LogLevel::info, "migrated away from upstream " + grant.upstream().str());
   } else {
     engine.cancel(request, epoch);
   }
-  hold.end(GrantEnd::cancelled);
-  return Next::again;
+  grant.end(GrantEnd::cancelled);
+  return Next::proceed;
 }
 
-AnswerRunner::Next AnswerRunner::onFailure(GrantHold& hold, const StreamResult& result) {
-  logLine(LogLevel::warning, "attempt at " + hold.upstream().str() + " failed: " + result.detail);
-  avoid_.push_back(hold.upstream());
-  if (avoid_.size() > kMostAvoided) avoid_.erase(avoid_.begin());
+AnswerRunner::Next AnswerRunner::onFailure(GrantHold& grant, const StreamResult& result) {
+  logLine(LogLevel::warning,
+          "attempt at upstream " + grant.upstream().str() + " failed: " + result.detail);
+  excluded_.push_back(grant.upstream());
+  if (excluded_.size() > kMaxExcludedUpstreams) excluded_.erase(excluded_.begin());
   dispatched_ = dispatched_ || result.end == StreamEnd::broke;
   switch (result.end) {
     case StreamEnd::leaving:
-      context_.noteLeave({hold.upstream(), result.leavesIn, LeaveSource::upstream});
-      hold.end(GrantEnd::cancelled);
-      return Next::again;
+      context_.noteLeave({grant.upstream(), result.leavesIn, LeaveSource::upstream});
+      grant.end(GrantEnd::cancelled);
+      return Next::proceed;
     case StreamEnd::connectFailed:
-      hold.end(GrantEnd::connectFailed);
+      grant.end(GrantEnd::connectFailed);
       break;
     default:
-      hold.end(GrantEnd::broke);
+      grant.end(GrantEnd::broke);
       break;
   }
-  context_.metrics.add("hallchute_attempts_failed_total", labels());
-  ++failures_;
+  context_.metrics.add("hallchute_attempts_failed_total", metricLabels());
+  ++failureCount_;
   if (accepted()) {
-    // It is accepted: the budget does not end it, it only slows it down.
-    if (!context_.budgets.tryConsumeRetry(job_->spec().service)) job_->pauseFor(kMostPause);
-    return Next::again;
+    // An exhausted retry budget delays an accepted request but does not end it.
+    if (!context_.budgets.tryConsumeRetry(job_->spec().service)) job_->pauseFor(kMaxRetryDelay);
+    return Next::proceed;
   }
-  const bool mayRetry = failures_ < policyNumber(context_, job_->spec(), PolicyKey::maxAttempts) &&
-                        context_.budgets.tryConsumeRetry(job_->spec().service);
-  if (mayRetry) return Next::again;
-  Refusal refusal = lastRefusal(RefusalReason::upstreamFailed, result.detail);
-  refusal.retryAfter = kMostPause;
+  const bool mayRetry =
+      failureCount_ < policyValue(context_, job_->spec(), PolicyKey::maxAttempts) &&
+      context_.budgets.tryConsumeRetry(job_->spec().service);
+  if (mayRetry) return Next::proceed;
+  Refusal refusal = makeRefusal(RefusalReason::upstreamFailed, result.detail);
+  refusal.retryAfter = kMaxRetryDelay;
   job_->refuse(std::move(refusal));
   return Next::done;
 }
--- a/Hallchute/src/Daemon/AnswerRunner.h
+++ b/Hallchute/src/Daemon/AnswerRunner.h
@@ -18,46 +18,47 @@
 class Job;
 struct TrafficContext;
 
-/// \brief Runs one generation to its end, across as many upstreams as it takes.
+/// \brief Runs one generation to completion, with retries and migrations across upstreams.
 /// \ingroup Daemon
 ///
-/// Before the first place is granted a refusal is final at once. After it the request is accepted:
-/// it goes on until its answer is whole, its caller gives up or its deadline passes. Blocks its
-/// thread.
+/// A request is accepted if it is durable, and otherwise once its first token has been received or
+/// it has been migrated. Before that, a refused grant is final and failed attempts are retried at
+/// most as often as `maxAttempts` and the retry budget allow. An accepted request is retried until
+/// its answer is complete, its caller cancels it or its deadline passes. Blocks the calling thread.
 class AnswerRunner {
  public:
   AnswerRunner(TrafficContext& context, std::shared_ptr<Job> job);
   void run();
 
  private:
-  enum class Next { again, done };
+  enum class Next { proceed, done };
 
   Next step();
-  Next onRefused(const Refusal& refusal);
-  Next attempt(GrantHold& hold);
-  Next afterStream(GrantHold& hold, EnginePort& engine, std::uint64_t epoch,
+  Next onGrantRefused(const Refusal& refusal);
+  Next runAttempt(GrantHold& grant);
+  Next afterStream(GrantHold& grant, EnginePort& engine, std::uint64_t epoch,
                    const StreamResult& result);
-  Next onOrder(GrantHold& hold, EnginePort& engine, std::uint64_t epoch);
-  Next onFailure(GrantHold& hold, const StreamResult& result);
-  bool onEvent(const EngineEvent& event, const GrantHold& hold);
-  void noteToken();
+  Next onOrder(GrantHold& grant, EnginePort& engine, std::uint64_t epoch);
+  Next onFailure(GrantHold& grant, const StreamResult& result);
+  bool onEvent(const EngineEvent& event, const GrantHold& grant);
+  void recordTokenMetrics();
   GenerateRequest makeRequest(EnginePort& engine, std::uint64_t epoch);
-  GrantSpec makeSpec() const;
+  GrantSpec makeGrantSpec() const;
   bool accepted() const;
-  Refusal lastRefusal(RefusalReason reason, std::string detail) const;
-  std::string labels() const;
+  Refusal makeRefusal(RefusalReason reason, std::string detail) const;
+  std::string metricLabels() const;
 
   TrafficContext& context_;
   std::shared_ptr<Job> job_;
-  std::vector<UpstreamId> avoid_;
-  std::string cache_;
-  /// Whether an engine may have begun on it.
+  std::vector<UpstreamId> excluded_;
+  std::string exportedCache_;
+  /// Whether an engine may have started to process the request.
   bool dispatched_ = false;
   bool resumption_ = false;
   bool finished_ = false;
-  bool gap_ = false;
-  int failures_ = 0;
-  Instant lastToken_{};
+  bool offsetGap_ = false;
+  int failureCount_ = 0;
+  Instant lastTokenAt_{};
 };
 
 }  // namespace Hallchute
--- a/Hallchute/src/Daemon/AnswerWriter.cpp
+++ b/Hallchute/src/Daemon/AnswerWriter.cpp
@@ -12,9 +12,9 @@
 namespace Hallchute {
 namespace {
 
-/// How long a reader waits at a time; only a bound on how late it sees that its caller is gone.
-constexpr Millis kWait{1'000};
-constexpr int kReconnectMs = 100;
+/// Longest wait for new tokens at a time; bounds the delay until a disconnected caller is noticed.
+constexpr Millis kViewTimeout{1'000};
+constexpr int kReconnectDelayMs = 100;
 
 bool hasEnded(JobStage stage) {
   return stage == JobStage::finished || stage == JobStage::refused || stage == JobStage::handedOver;
@@ -31,15 +31,16 @@
   response_.set("Hallchute-Request", job_->spec().request.str());
 }
 
-JsonObject AnswerWriter::frame(const char* chatKind) const {
+JsonObject AnswerWriter::responseObject(const char* chatObjectType) const {
   JsonObject json = new Poco::JSON::Object;
   json->set("id", job_->spec().request.str());
-  json->set("object", job_->spec().chat ? std::string(chatKind) : std::string("text_completion"));
+  json->set("object",
+            job_->spec().chat ? std::string(chatObjectType) : std::string("text_completion"));
   json->set("model", job_->spec().service.str());
   return json;
 }
 
-std::string AnswerWriter::chunk(const std::string& token) const {
+std::string AnswerWriter::tokenChunk(const std::string& token) const {
   JsonObject choice = new Poco::JSON::Object;
   choice->set("index", 0);
   if (job_->spec().chat) {
@@ -51,24 +52,24 @@
   }
   Poco::JSON::Array::Ptr choices = new Poco::JSON::Array;
   choices->add(choice);
-  JsonObject json = frame("chat.completion.chunk");
+  JsonObject json = responseObject("chat.completion.chunk");
   json->set("choices", choices);
   return jsonText(json);
 }
 
-std::string AnswerWriter::lastChunk() const {
+std::string AnswerWriter::finalChunk() const {
   JsonObject choice = new Poco::JSON::Object;
   choice->set("index", 0);
   if (job_->spec().chat) choice->set("delta", JsonObject(new Poco::JSON::Object));
   choice->set("finish_reason", "stop");
   Poco::JSON::Array::Ptr choices = new Poco::JSON::Array;
   choices->add(choice);
-  JsonObject json = frame("chat.completion.chunk");
+  JsonObject json = responseObject("chat.completion.chunk");
   json->set("choices", choices);
   return jsonText(json);
 }
 
-std::string AnswerWriter::document() const {
+std::string AnswerWriter::responseDocument() const {
   const JobView view = job_->view(0, Millis(0));
   std::string text;
   for (const std::string& token : view.tokens) text += token;
@@ -88,23 +89,24 @@
   JsonObject usage = new Poco::JSON::Object;
   usage->set("prompt_tokens", job_->spec().promptTokens);
   usage->set("completion_tokens", view.tokens.size());
-  JsonObject json = frame("chat.completion");
+  JsonObject json = responseObject("chat.completion");
   json->set("choices", choices);
   json->set("usage", usage);
   return jsonText(json);
 }
 
-/// Waits for the first thing to say, so that a refusal still gets its own status.
+/// Waits for the first token or the end of the job, so that a refusal is still sent with its own
+/// status code.
 bool AnswerWriter::waitForStart(std::size_t offset, JobView& view) {
   do {
-    view = job_->view(offset, kWait);
+    view = job_->view(offset, kViewTimeout);
   } while (view.tokens.empty() && !hasEnded(view.stage));
   if (view.stage != JobStage::refused || !view.tokens.empty() || offset > 0) return true;
   sendProblem(response_, *view.refusal, job_->spec().request.str());
   return false;
 }
 
-void AnswerWriter::sendMoved() {
+void AnswerWriter::sendRedirect() {
   response_.setStatusAndReason(Poco::Net::HTTPResponse::HTTP_SEE_OTHER);
   response_.set("Location", location(*job_));
   response_.setContentLength(0);
@@ -120,20 +122,20 @@
   std::ostream& out = response_.send();
   for (;;) {
     for (const std::string& token : view.tokens) {
-      out << "id: " << ++offset << "\ndata: " << chunk(token) << "\n\n";
+      out << "id: " << ++offset << "\ndata: " << tokenChunk(token) << "\n\n";
     }
     out.flush();
     if (!out.good()) return;
     if (hasEnded(view.stage) && view.tokens.empty()) break;
-    view = job_->view(offset, kWait);
+    view = job_->view(offset, kViewTimeout);
   }
   const std::string request = job_->spec().request.str();
   switch (view.stage) {
     case JobStage::finished:
-      out << "data: " << lastChunk() << "\n\ndata: [DONE]\n\n";
+      out << "data: " << finalChunk() << "\n\ndata: [DONE]\n\n";
       break;
     case JobStage::handedOver:
-      out << "retry: " << kReconnectMs << "\nevent: moved\ndata: {\"location\":\""
+      out << "retry: " << kReconnectDelayMs << "\nevent: moved\ndata: {\"location\":\""
           << location(*job_) << "\"}\n\n";
       break;
     default:
@@ -146,14 +148,14 @@
 void AnswerWriter::whole() {
   JobView view;
   do {
-    view = job_->view(SIZE_MAX, kWait);
+    view = job_->view(SIZE_MAX, kViewTimeout);
   } while (!hasEnded(view.stage));
   if (view.stage == JobStage::handedOver) {
-    sendMoved();
+    sendRedirect();
   } else if (view.stage == JobStage::refused) {
     sendProblem(response_, *view.refusal, job_->spec().request.str());
   } else {
-    const std::string body = document();
+    const std::string body = responseDocument();
     response_.setContentType("application/json");
     response_.sendBuffer(body.data(), body.size());
   }
--- a/Hallchute/src/Daemon/AnswerWriter.h
+++ b/Hallchute/src/Daemon/AnswerWriter.h
@@ -19,27 +19,27 @@
 
 using JobPtr = std::shared_ptr<Job>;
 
-/// \brief Writes the answer of a job to a caller, as it grows or whole.
+/// \brief Writes the answer of a job to a caller, either as a stream or as one document.
 /// \ingroup Daemon
 ///
-/// A stream's event ids count tokens, so that `Last-Event-ID` resumes it at any daemon. Only a
-/// whole answer ends in `[DONE]`.
+/// The event ids of a stream are token counts, so that any daemon can resume it from
+/// `Last-Event-ID`. Only a complete answer ends with `[DONE]`.
 class AnswerWriter {
  public:
   AnswerWriter(Poco::Net::HTTPServerResponse& response, JobPtr job);
-  /// \brief Server-sent events from token \p offset on. Returns when all is written or the caller
-  /// is gone.
+  /// \brief Writes server-sent events from token \p offset on. Returns when the answer has ended or
+  /// the caller has disconnected.
   void stream(std::size_t offset);
-  /// \brief One JSON document once the answer is whole.
+  /// \brief Waits until the answer is complete and writes it as one JSON document.
   void whole();
 
  private:
   bool waitForStart(std::size_t offset, JobView& view);
-  void sendMoved();
-  std::string chunk(const std::string& token) const;
-  std::string lastChunk() const;
-  std::string document() const;
-  JsonObject frame(const char* chatKind) const;
+  void sendRedirect();
+  std::string tokenChunk(const std::string& token) const;
+  std::string finalChunk() const;
+  std::string responseDocument() const;
+  JsonObject responseObject(const char* chatObjectType) const;
 
   Poco::Net::HTTPServerResponse& response_;
   JobPtr job_;
