--- a/Hallchute/src/Daemon/Control.cpp
+++ b/Hallchute/src/Daemon/Control.cpp
@@ -22,12 +22,12 @@
 namespace Hallchute {
 namespace {
 
-constexpr Millis kTick{50};
-constexpr Millis kSpreadPoll{5};
-constexpr Millis kFetchLimit{1'000};
+constexpr Millis kTickInterval{50};
+constexpr Millis kAcknowledgementPollInterval{5};
+constexpr Millis kFetchTimeout{1'000};
 constexpr std::size_t kChangesPerReply = 64;
 
-MemberStatus selfNews(const StartupFile& startup) {
+MemberStatus initialSelfStatus(const StartupFile& startup) {
   MemberStatus self;
   self.id = startup.daemon;
   self.domain = startup.domain;
@@ -36,7 +36,7 @@
   return self;
 }
 
-std::uint64_t seedOf(const StartupFile& startup) {
+std::uint64_t randomSeed(const StartupFile& startup) {
   return stableHash(startup.daemon.str(), static_cast<std::uint64_t>(wallClockMs()));
 }
 
@@ -48,7 +48,7 @@
       jobs_(jobs),
       metrics_(metrics),
       transport_(loop_, startup.peerListen, startup.peerSecret),
-      membership_(MembershipPolicy{}, selfNews(startup), seedOf(startup)),
+      membership_(MembershipPolicy{}, initialSelfStatus(startup), randomSeed(startup)),
       owners_(settings, directory_),
       broker_(loop_, transport_, membership_, directory_, settings, owners_, metrics),
       gossip_(loop_, transport_, membership_,
@@ -65,7 +65,7 @@
 
 void Control::start() {
   gossip_.start();
-  loop_.every(kTick, [this] { tick(); });
+  loop_.every(kTickInterval, [this] { tick(); });
   thread_ = std::thread([this] { loop_.run(); });
 }
 
@@ -77,7 +77,7 @@
 
 void Control::tick() {
   owners_.tick(clockNow());
-  directMigrations();
+  orderMigrations();
 }
 
 void Control::onAction(const MembershipAction& action) {
@@ -86,52 +86,54 @@
                           broker_.onOwnersChanged();
                           if (membersChanged_) membersChanged_();
                         },
-                        [&](const LongPauseDetected& woke) {
+                        [&](const LongPauseDetected& pause) {
                           metrics_.add("hallchute_pauses_total", "");
-                          logLine(LogLevel::warning, "was paused for " +
-                                                         std::to_string(woke.gap.count()) +
-                                                         " ms; joins again");
+                          logLine(LogLevel::warning, "process was paused for " +
+                                                         std::to_string(pause.gap.count()) +
+                                                         " ms; rejoining the fleet");
+                        },
+                        [&](const LeaveDiscovered& discovered) {
+                          onLeaveDiscovered(discovered.announcement);
                         },
-                        [&](const LeaveDiscovered& heard) { onLeaveHeard(heard.announcement); },
                         [&](const NewerSettings& newer) { fetchSettings(newer.address); },
                         [&](const NewerHosts& newer) { fetchHosts(newer.address); }},
              action);
 }
 
 void Control::noteLeave(const LeaveAnnouncement& announcement) {
-  loop_.post([this, announcement] { spreadLeave(announcement); });
+  loop_.post([this, announcement] { disseminateLeave(announcement); });
 }
 
 bool Control::noteLeaveAndSpread(const LeaveAnnouncement& announcement, Millis limit) {
   noteLeave(announcement);
   const Instant until = clockNow() + limit;
   for (;;) {
-    bool spread = false;
-    loop_.call([&] { spread = gossip_.wasSpread(announcement.upstream); });
-    if (spread || clockNow() >= until) return spread;
-    std::this_thread::sleep_for(kSpreadPoll);
+    bool acknowledged = false;
+    loop_.call([&] { acknowledged = gossip_.wasSpread(announcement.upstream); });
+    if (acknowledged || clockNow() >= until) return acknowledged;
+    std::this_thread::sleep_for(kAcknowledgementPollInterval);
   }
 }
 
-void Control::spreadLeave(const LeaveAnnouncement& announcement) {
+void Control::disseminateLeave(const LeaveAnnouncement& announcement) {
   gossip_.perform(membership_.announceLeave(announcement, clockNow()));
 }
 
-void Control::onLeaveHeard(const LeaveAnnouncement& announcement) {
+void Control::onLeaveDiscovered(const LeaveAnnouncement& announcement) {
   if (announcement.upstream.str() == membership_.self().id.str()) {
-    if (ownNotice_) ownNotice_(announcement.remaining);
+    if (ownLeave_) ownLeave_(announcement.remaining);
     return;
   }
-  logLine(LogLevel::info, "upstream " + announcement.upstream.str() + " leaves in " +
+  logLine(LogLevel::info, "upstream " + announcement.upstream.str() + " will leave in " +
                               std::to_string(announcement.remaining.count()) + " ms");
   metrics_.add("hallchute_leaves_total", "");
   directory_.noteLeave(announcement.upstream, announcement.remaining, clockNow());
   owners_.refresh(clockNow());
-  directMigrations();
+  orderMigrations();
 }
 
-/// Orders the streams on leaving upstreams away, as their windows close.
-void Control::directMigrations() {
+/// Orders the migration of streams on leaving upstreams that cannot finish in the time left.
+void Control::orderMigrations() {
   const Instant now = clockNow();
   std::map<UpstreamId, std::vector<JobPtr>> leaving;
   for (const JobPtr& job : jobs_.running()) {
@@ -144,10 +146,10 @@
     const UpstreamInfo* info = directory_.find(upstream);
     const PolicyScope scope{info->host.domain, info->host.service, OrganisationName()};
     const auto& tree = settings_.get()->tree;
-    const auto left = std::chrono::duration_cast<Millis>(*info->leavesAt - now) -
-                      Millis(tree.policy(PolicyKey::leaveMarginMs, scope));
+    const auto timeLeft = std::chrono::duration_cast<Millis>(*info->leavesAt - now) -
+                          Millis(tree.policy(PolicyKey::leaveMarginMs, scope));
     const LeaveWindow window{
-        std::max(left, Millis(0)),
+        std::max(timeLeft, Millis(0)),
         static_cast<double>(tree.policy(PolicyKey::transferTokensPerSecond, scope))};
     std::vector<RunningStream> streams;
     for (std::size_t i = 0; i < jobs.size(); ++i) {
@@ -179,7 +181,7 @@
   owners_.refresh(clockNow());
   metrics_.set("hallchute_settings_revision", "", static_cast<double>(changes_.revision()));
   logLine(LogLevel::info,
-          "settings revision " + std::to_string(changes_.revision()) + " is in force");
+          "settings revision " + std::to_string(changes_.revision()) + " is now in force");
 }
 
 void Control::learnHosts(const HostList& hosts) {
@@ -187,8 +189,8 @@
 }
 
 void Control::applyHosts(const HostList& hosts) {
-  if (hosts.version < hosts_.version) return;
-  hosts_ = hosts;
+  if (hosts.version < hostList_.version) return;
+  hostList_ = hosts;
   membership_.setHostsVersion(hosts.version);
   for (const HostListEntry& host : hosts.hosts) {
     const bool known = membership_.find(DaemonId(host.host.str())) != nullptr;
@@ -196,12 +198,12 @@
   }
   for (const LeaveAnnouncement& announcement :
        directory_.applyHostList(hosts.version, hosts.hosts, clockNow())) {
-    spreadLeave(announcement);
+    disseminateLeave(announcement);
   }
   owners_.refresh(clockNow());
 }
 
-void Control::beginLeaving() {
+void Control::announceOwnLeave() {
   loop_.call([this] { gossip_.perform(membership_.leave(clockNow())); });
 }
 
@@ -209,7 +211,7 @@
   ControlView view;
   loop_.call([&] {
     view.revision = changes_.revision();
-    view.hostsVersion = hosts_.version;
+    view.hostsVersion = hostList_.version;
     view.self = membership_.self();
     view.others = membership_.others();
     view.upstreams = directory_.all();
@@ -222,18 +224,19 @@
 }
 
 bool Control::mayBeAlive(const DaemonId& id) {
-  bool lives = true;
-  loop_.call([&] { lives = membership_.mayBeAlive(id); });
-  return lives;
+  bool alive = true;
+  loop_.call([&] { alive = membership_.mayBeAlive(id); });
+  return alive;
 }
 
-bool Control::hasDuty(std::string_view duty, std::size_t first) {
+bool Control::hasDuty(std::string_view task, std::size_t rankLimit) {
   bool has = false;
   loop_.call([&] {
     const MemberStatus& self = membership_.self();
-    const std::string key = std::string(duty) + "/" + self.domain.str();
+    const std::string key = std::string(task) + "/" + self.domain.str();
     const std::vector<DaemonId> ranked = rankOwners(key, membership_.owners(self.domain));
-    const auto end = ranked.begin() + static_cast<std::ptrdiff_t>(std::min(first, ranked.size()));
+    const auto end =
+        ranked.begin() + static_cast<std::ptrdiff_t>(std::min(rankLimit, ranked.size()));
     has = std::find(ranked.begin(), end, self.id) != end;
   });
   return has;
@@ -253,28 +256,28 @@
     const auto reply = unpack<SettingsReplyMessage>(bytes);
     if (const PeerStreamPtr open = weak.lock()) open->close();
     fetchingSettings_ = false;
-    if (reply) takeSettings(*reply);
+    if (reply) applySettings(*reply);
   };
   stream->onClosed = [this] { fetchingSettings_ = false; };
-  loop_.after(kFetchLimit, [this, stream] {
+  loop_.after(kFetchTimeout, [this, stream] {
     if (!stream->isOpen()) return;
     stream->close();
     fetchingSettings_ = false;
   });
 }
 
-void Control::takeSettings(const SettingsReplyMessage& reply) {
+void Control::applySettings(const SettingsReplyMessage& reply) {
   Findings findings;
-  bool rose = false;
+  bool changed = false;
   if (!reply.snapshot.empty()) {
     const JsonObject json = parseJsonObject(reply.snapshot, findings);
-    if (json) rose = changes_.startFrom(reply.snapshotRevision, json);
+    if (json) changed = changes_.startFrom(reply.snapshotRevision, json);
   }
   for (const std::string& text : reply.changes) {
     SettingsChange change = parseChange(text, findings);
-    if (change.number != 0) rose = changes_.add(std::move(change)) || rose;
+    if (change.number != 0) changed = changes_.add(std::move(change)) || changed;
   }
-  if (rose) publishSettings();
+  if (changed) publishSettings();
 }
 
 void Control::serveSettings(const PeerStreamPtr& stream) {
@@ -299,7 +302,7 @@
   if (fetchingHosts_) return;
   fetchingHosts_ = true;
   const PeerStreamPtr stream =
-      transport_.open(address, PeerPath::kHosts, pack(HostsRequestMessage{hosts_.version}));
+      transport_.open(address, PeerPath::kHosts, pack(HostsRequestMessage{hostList_.version}));
   const std::weak_ptr<PeerStream> weak = stream;
   stream->onMessage = [this, weak](std::string_view bytes) {
     const auto reply = unpack<HostsReplyMessage>(bytes);
@@ -308,7 +311,7 @@
     if (reply) applyHosts({reply->version, reply->hosts});
   };
   stream->onClosed = [this] { fetchingHosts_ = false; };
-  loop_.after(kFetchLimit, [this, stream] {
+  loop_.after(kFetchTimeout, [this, stream] {
     if (!stream->isOpen()) return;
     stream->close();
     fetchingHosts_ = false;
@@ -321,7 +324,7 @@
     const PeerStreamPtr open = weak.lock();
     const auto request = unpack<HostsRequestMessage>(bytes);
     if (!open || !request) return;
-    open->send(pack(HostsReplyMessage{hosts_.version, hosts_.hosts}));
+    open->send(pack(HostsReplyMessage{hostList_.version, hostList_.hosts}));
     open->finish();
   };
 }
--- a/Hallchute/src/Daemon/Control.h
+++ b/Hallchute/src/Daemon/Control.h
@@ -29,7 +29,7 @@
 class SettingsStore;
 struct StartupFile;
 
-/// \brief A look at the control state, for operators.
+/// \brief A snapshot of the control state, for operators.
 /// \ingroup Daemon
 struct ControlView {
   std::uint64_t revision = 0;
@@ -46,7 +46,7 @@
 /// \brief The control state of a daemon and the thread that owns it.
 /// \ingroup Daemon
 ///
-/// Public functions may be called from any thread once start() was called.
+/// Public functions may be called from any thread after start().
 class Control {
  public:
   Control(const StartupFile& startup, SettingsStore& settings, JobTable& jobs, Metrics& metrics);
@@ -59,42 +59,45 @@
 
   GrantOutcome acquire(const GrantSpec& spec) { return broker_.acquire(spec); }
   void noteLeave(const LeaveAnnouncement& announcement);
-  /// \brief As noteLeave(), and waits until a peer has it too, at most \p limit.
-  /// \returns whether one has.
+  /// \brief As noteLeave(), and waits at most \p limit until a peer has acknowledged the
+  /// announcement.
+  /// \returns whether a peer has acknowledged it.
   bool noteLeaveAndSpread(const LeaveAnnouncement& announcement, Millis limit);
   void learnChange(const SettingsChange& change);
   void learnSnapshot(std::uint64_t revision, const JsonObject& json);
   void learnHosts(const HostList& hosts);
-  /// \brief This daemon stops: it owns nothing any more and says so.
-  void beginLeaving();
+  /// \brief Marks this daemon as leaving: it owns no shards from now on and announces its leave.
+  void announceOwnLeave();
   ControlView view();
   bool mayBeAlive(const DaemonId& id);
-  /// \brief Whether this daemon is one of the \p first ranked of its domain for \p duty.
-  bool hasDuty(std::string_view duty, std::size_t first);
+  /// \brief Whether this daemon is among the first \p rankLimit of the rendezvous ranking of its
+  /// failure domain for \p task.
+  bool hasDuty(std::string_view task, std::size_t rankLimit);
   std::uint64_t revision();
 
-  /// \brief The loop, for services that answer peers.
+  /// \brief The event loop, for services that answer peers.
   EventLoop& loop() { return loop_; }
   PeerTransport& transport() { return transport_; }
   const Membership& membership() const { return membership_; }
-  /// \brief Called on the loop's thread when daemons came or went.
+  /// \brief Sets the callback for daemons that joined or left; it runs on the loop's thread.
   /// Set before start().
-  void onMembersChanged(std::function<void()> task) { membersChanged_ = std::move(task); }
-  /// \brief Called on the loop's thread when this daemon's own host is to go. Set before start().
-  void onOwnNotice(std::function<void(Millis)> task) { ownNotice_ = std::move(task); }
+  void onMembersChanged(std::function<void()> callback) { membersChanged_ = std::move(callback); }
+  /// \brief Sets the callback for the announced leave of this daemon's own host, with the time
+  /// left; it runs on the loop's thread. Set before start().
+  void onOwnLeave(std::function<void(Millis)> callback) { ownLeave_ = std::move(callback); }
 
  private:
   void onAction(const MembershipAction& action);
-  void onLeaveHeard(const LeaveAnnouncement& announcement);
-  void spreadLeave(const LeaveAnnouncement& announcement);
+  void onLeaveDiscovered(const LeaveAnnouncement& announcement);
+  void disseminateLeave(const LeaveAnnouncement& announcement);
   void fetchSettings(const std::string& address);
-  void takeSettings(const SettingsReplyMessage& reply);
+  void applySettings(const SettingsReplyMessage& reply);
   void fetchHosts(const std::string& address);
   void serveSettings(const PeerStreamPtr& stream);
   void serveHosts(const PeerStreamPtr& stream);
   void applyHosts(const HostList& hosts);
   void publishSettings();
-  void directMigrations();
+  void orderMigrations();
   void tick();
 
   SettingsStore& settings_;
@@ -108,11 +111,11 @@
   ShardOwners owners_;
   GrantBroker broker_;
   Gossip gossip_;
-  HostList hosts_;
+  HostList hostList_;
   bool fetchingSettings_ = false;
   bool fetchingHosts_ = false;
   std::function<void()> membersChanged_;
-  std::function<void(Millis)> ownNotice_;
+  std::function<void(Millis)> ownLeave_;
   std::thread thread_;
 };
 
--- a/Hallchute/src/Daemon/Daemon.cpp
+++ b/Hallchute/src/Daemon/Daemon.cpp
@@ -12,15 +12,15 @@
 namespace Hallchute {
 namespace {
 
-constexpr Millis kKeepPeriod{250};
-/// Orphaned requests are looked for this often even when no daemon is seen to go.
-constexpr Millis kAdoptPeriod{10'000};
-/// After a daemon was seen to go, they are looked for at every turn for this long.
+constexpr Millis kMaintenanceInterval{250};
+/// Interval of the search for orphaned requests while the set of members does not change.
+constexpr Millis kAdoptInterval{10'000};
+/// After a change of the members, every maintenance cycle searches for orphans for this long.
 constexpr Millis kAdoptAfterChange{6'000};
-/// What a reclaim's time must leave for handing over and for the last words.
+/// Time reserved before a reclaim for the handover of jobs and the final flush.
 constexpr Millis kReclaimMargin{5'000};
-/// Daemons of a domain that look for orphans.
-constexpr std::size_t kAdopters = 1;
+/// Daemons of a failure domain that search for orphans.
+constexpr std::size_t kAdoptersPerDomain = 1;
 
 }  // namespace
 
@@ -42,19 +42,19 @@
                [this](const GrantSpec& spec) { return control_.acquire(spec); },
                [this](const LeaveAnnouncement& announcement) { control_.noteLeave(announcement); },
                [this](const DaemonId& id) { return control_.mayBeAlive(id); }},
-      keeper_(context_),
+      onceRecords_(context_),
       records_(context_),
       starter_(context_, records_),
       peers_(control_, context_, starter_, records_),
-      services_{context_, starter_, records_, peers_, keeper_},
-      callers_(services_, startup_.callerListen, startup_.maxCallers),
+      services_{context_, starter_, records_, peers_, onceRecords_},
+      callerServer_(services_, startup_.callerListen, startup_.maxCallers),
       editor_(platform_, settings_,
               [this](const SettingsChange& change) { control_.learnChange(change); }),
       follower_(platform_, editor_, control_, health_, metrics_),
       operatorServices_(operatorServices()),
-      operators_(operatorServices_, startup_.operatorListen) {
+      operatorServer_(operatorServices_, startup_.operatorListen) {
   control_.onMembersChanged([this] { membersChanged_ = true; });
-  control_.onOwnNotice([this](Millis left) { stopWithin(left - kReclaimMargin); });
+  control_.onOwnLeave([this](Millis timeLeft) { stopWithin(timeLeft - kReclaimMargin); });
 }
 
 Daemon::~Daemon() = default;
@@ -83,56 +83,56 @@
 void Daemon::stopWithin(Millis limit) {
   {
     const std::lock_guard lock(mutex_);
-    if (stopLimit_) hurry_ = true;
+    if (stopLimit_) stopNow_ = true;
     stopLimit_ = std::max(Millis(0), std::min(limit, drainLimit()));
   }
-  wake_.notify_all();
+  stopRequested_.notify_all();
 }
 
 void Daemon::run() {
   control_.start();
   follower_.start();
-  keeperThread_ = std::thread([this] { keepRecords(); });
-  operators_.start();
-  callers_.start();
-  logLine(LogLevel::info, "daemon " + startup_.daemon.str() + " serves");
+  maintenanceThread_ = std::thread([this] { runMaintenance(); });
+  operatorServer_.start();
+  callerServer_.start();
+  logLine(LogLevel::info, "daemon " + startup_.daemon.str() + " serves requests");
   Millis limit{0};
   {
     std::unique_lock lock(mutex_);
-    wake_.wait(lock, [this] { return stopLimit_.has_value(); });
+    stopRequested_.wait(lock, [this] { return stopLimit_.has_value(); });
     limit = *stopLimit_;
   }
-  Drain(services_, control_, callers_).run(limit, hurry_);
+  Drain(services_, control_, callerServer_).run(limit, stopNow_);
   for (const JobPtr& job : jobs_.running()) job->orderCancel();
   starter_.waitIdle(limit + kReclaimMargin);
-  keeping_ = false;
-  keeperThread_.join();
+  maintenanceRunning_ = false;
+  maintenanceThread_.join();
   follower_.stop();
   control_.stop();
   logLine(LogLevel::info, "daemon " + startup_.daemon.str() + " has stopped");
 }
 
-/// Writes what waits to be written, and takes on what other daemons left.
-void Daemon::keepRecords() {
+/// Periodically writes pending records and adopts requests orphaned by other daemons.
+void Daemon::runMaintenance() {
   Instant adoptUntil{};
   Instant nextAdopt{};
-  while (keeping_) {
+  while (maintenanceRunning_) {
     const Instant now = clockNow();
     jobs_.sweep(now);
-    keeper_.flush();
+    onceRecords_.flush();
     records_.checkpoint();
     if (membersChanged_.exchange(false)) adoptUntil = now + kAdoptAfterChange;
     if (!services_.draining && (now < adoptUntil || now >= nextAdopt)) {
-      nextAdopt = now + kAdoptPeriod;
-      if (control_.hasDuty("adopt", kAdopters)) adoptOrphans();
+      nextAdopt = now + kAdoptInterval;
+      if (control_.hasDuty("adopt", kAdoptersPerDomain)) adoptOrphans();
     }
-    std::this_thread::sleep_for(kKeepPeriod);
+    std::this_thread::sleep_for(kMaintenanceInterval);
   }
 }
 
 void Daemon::adoptOrphans() {
   for (const HandOverRecord& record : records_.claimOrphans(clockNow())) {
-    logLine(LogLevel::info, "takes on " + record.request.str());
+    logLine(LogLevel::info, "orphaned request resumes on this daemon: " + record.request.str());
     metrics_.add("hallchute_adopted_total", "");
     starter_.start(makeJob(record, settings_.get()->tree, startup_.domain));
   }
--- a/Hallchute/src/Daemon/Daemon.h
+++ b/Hallchute/src/Daemon/Daemon.h
@@ -33,7 +33,7 @@
 
 namespace Hallchute {
 
-/// \brief One daemon with all its parts: `hallchute serve`.
+/// \brief The daemon run by `hallchute serve`, with all its components.
 /// \ingroup Daemon
 class Daemon {
  public:
@@ -42,14 +42,14 @@
   Daemon(const Daemon&) = delete;
   Daemon& operator=(const Daemon&) = delete;
 
-  /// \brief Serves until a stop was asked for and done.
+  /// \brief Serves until a requested stop is complete.
   void run();
-  /// \brief Asks for a planned stop; asked twice, for a stop at once. Any thread.
+  /// \brief Requests a planned stop; a second call requests an immediate stop. Any thread.
   void stop();
 
  private:
   void stopWithin(Millis limit);
-  void keepRecords();
+  void runMaintenance();
   void adoptOrphans();
   Millis drainLimit() const;
   OperatorServices operatorServices();
@@ -64,23 +64,23 @@
   PlatformBreaker platform_;
   Control control_;
   TrafficContext context_;
-  OnceKeeper keeper_;
+  OnceKeeper onceRecords_;
   JobRecords records_;
   JobStarter starter_;
   PeerJobs peers_;
   CallerServices services_;
-  CallerServer callers_;
+  CallerServer callerServer_;
   SettingsEditor editor_;
   PlatformFollower follower_;
   OperatorServices operatorServices_;
-  OperatorServer operators_;
+  OperatorServer operatorServer_;
   std::mutex mutex_;
-  std::condition_variable wake_;
+  std::condition_variable stopRequested_;
   std::optional<Millis> stopLimit_;
-  std::atomic<bool> hurry_{false};
+  std::atomic<bool> stopNow_{false};
   std::atomic<bool> membersChanged_{true};
-  std::atomic<bool> keeping_{true};
-  std::thread keeperThread_;
+  std::atomic<bool> maintenanceRunning_{true};
+  std::thread maintenanceThread_;
 };
 
 }  // namespace Hallchute
--- a/Hallchute/src/Daemon/Drain.cpp
+++ b/Hallchute/src/Daemon/Drain.cpp
@@ -22,34 +22,34 @@
 namespace Hallchute {
 namespace {
 
-/// Time for the balancer to see that the daemon is not ready.
-constexpr Millis kBalancerGrace{1'000};
-constexpr Millis kPoll{20};
-constexpr Millis kPauseLimit{4'000};
-/// Time for callers to read the last bytes, and for what is unsaved to be written.
-constexpr Millis kLastWords{3'000};
+/// Time for the load balancer to notice that the daemon is not ready.
+constexpr Millis kReadinessGrace{1'000};
+constexpr Millis kPollInterval{20};
+constexpr Millis kPauseTimeout{4'000};
+/// Time for callers to read the end of their answers and for unsaved records to be written.
+constexpr Millis kFinalFlushTimeout{3'000};
 
 }  // namespace
 
 Drain::Drain(CallerServices& services, Control& control, CallerServer& server)
     : services_(services), control_(control), server_(server) {}
 
-void Drain::run(Millis limit, const std::atomic<bool>& hurry) {
+void Drain::run(Millis limit, const std::atomic<bool>& stopNow) {
   logLine(LogLevel::info, "draining for at most " + std::to_string(limit.count()) + " ms");
   const Instant until = clockNow() + limit;
   services_.draining = true;
-  control_.beginLeaving();
-  const Instant closeAt = clockNow() + std::min(kBalancerGrace, limit / 2);
-  while (clockNow() < closeAt && !hurry) std::this_thread::sleep_for(kPoll);
-  services_.closed = true;
-  if (!waitForAnswers(until, hurry)) handOverAll();
-  waitForCallers(hurry);
+  control_.announceOwnLeave();
+  const Instant closeAt = clockNow() + std::min(kReadinessGrace, limit / 2);
+  while (clockNow() < closeAt && !stopNow) std::this_thread::sleep_for(kPollInterval);
+  services_.rejectsNewRequests = true;
+  if (!waitForAnswers(until, stopNow)) handOverAll();
+  finishAndClose(stopNow);
 }
 
-bool Drain::waitForAnswers(Instant until, const std::atomic<bool>& hurry) {
+bool Drain::waitForAnswers(Instant until, const std::atomic<bool>& stopNow) {
   while (!services_.context.jobs.running().empty()) {
-    if (clockNow() >= until || hurry) return false;
-    std::this_thread::sleep_for(kPoll);
+    if (clockNow() >= until || stopNow) return false;
+    std::this_thread::sleep_for(kPollInterval);
   }
   return true;
 }
@@ -57,33 +57,33 @@
 void Drain::handOverAll() {
   const auto jobs = services_.context.jobs.running();
   for (const auto& job : jobs) job->orderPause();
-  const Instant until = clockNow() + kPauseLimit;
+  const Instant until = clockNow() + kPauseTimeout;
   for (const auto& job : jobs) {
-    const auto left = std::chrono::duration_cast<Millis>(until - clockNow());
-    if (!job->waitPaused(std::max(left, Millis(0)))) continue;
+    const auto timeLeft = std::chrono::duration_cast<Millis>(until - clockNow());
+    if (!job->waitPaused(std::max(timeLeft, Millis(0)))) continue;
     const DaemonId peer = services_.peers.handOver(job->record(services_.context.daemon, 1));
     if (peer.empty()) {
-      // Nobody takes it: it goes on here for as long as this process may live.
+      // No peer accepted the job: it continues here until the process ends.
       services_.starter.resume(job);
       continue;
     }
     services_.records.noteHandOver(*job, peer);
     job->markHandedOver(peer);
-    logLine(LogLevel::info, job->spec().request.str() + " was handed to " + peer.str());
+    logLine(LogLevel::info, job->spec().request.str() + " was handed over to daemon " + peer.str());
   }
 }
 
-void Drain::waitForCallers(const std::atomic<bool>& hurry) {
-  while (!hurry && (services_.plainCalls > 0 || !services_.context.jobs.running().empty())) {
-    std::this_thread::sleep_for(kPoll);
+void Drain::finishAndClose(const std::atomic<bool>& stopNow) {
+  while (!stopNow && (services_.plainCalls > 0 || !services_.context.jobs.running().empty())) {
+    std::this_thread::sleep_for(kPollInterval);
   }
   server_.stopAccepting();
-  const Instant until = clockNow() + kLastWords;
+  const Instant until = clockNow() + kFinalFlushTimeout;
   for (;;) {
     services_.records.checkpoint();
     const bool saved = services_.keeper.flush() == 0 && services_.records.unsaved() == 0;
     if ((saved && server_.connections() == 0) || clockNow() >= until) return;
-    std::this_thread::sleep_for(kPoll);
+    std::this_thread::sleep_for(kPollInterval);
   }
 }
 
--- a/Hallchute/src/Daemon/Drain.h
+++ b/Hallchute/src/Daemon/Drain.h
@@ -14,23 +14,24 @@
 struct CallerServices;
 class Control;
 
-/// \brief A planned stop: cuts off no request in flight.
+/// \brief A planned stop that interrupts no request in progress.
 /// \ingroup Daemon
 ///
-/// Readiness goes first, so that the balancer sends callers elsewhere; new requests are still
-/// served for a moment. Running answers get drainLimitMs; those left are handed to a peer, which
-/// acknowledges before the caller is told where to go on. Calls to plain services are waited for.
+/// The readiness check fails first, so that the load balancer routes callers to other daemons; new
+/// requests are still served for a short time. Running answers have drainLimitMs to complete; the
+/// remaining ones are handed over to a peer, and the caller is redirected only after the peer has
+/// acknowledged. Calls to plain services are waited for.
 class Drain {
  public:
   Drain(CallerServices& services, Control& control, CallerServer& server);
-  /// \brief Blocks until nothing runs here any more, or \p hurry is set.
-  /// \param limit the longest time for answers; shortened to fit before a reclaim.
-  void run(Millis limit, const std::atomic<bool>& hurry);
+  /// \brief Blocks until no request is running on this daemon, or \p stopNow is set.
+  /// \param limit the time for answers to complete; the caller shortens it ahead of a reclaim.
+  void run(Millis limit, const std::atomic<bool>& stopNow);
 
  private:
-  bool waitForAnswers(Instant until, const std::atomic<bool>& hurry);
+  bool waitForAnswers(Instant until, const std::atomic<bool>& stopNow);
   void handOverAll();
-  void waitForCallers(const std::atomic<bool>& hurry);
+  void finishAndClose(const std::atomic<bool>& stopNow);
 
   CallerServices& services_;
   Control& control_;
