--- a/Hallchute/src/Admission/ShardPolicy.h
+++ b/Hallchute/src/Admission/ShardPolicy.h
@@ -7,7 +7,7 @@
 #include <cstddef>
 
 #include "Hallchute/src/Core/Time.h"
-#include "Hallchute/src/Routing/ChoicePolicy.h"
+#include "Hallchute/src/Routing/RoutingPolicy.h"
 
 namespace Hallchute {
 
@@ -22,7 +22,7 @@
   double organisationTokensPerSecond = 0;
   std::size_t prefixTokensPerUpstream = 200'000;
   Millis aging{1'000};
-  ChoicePolicy choice = PrefixAffinity{};
+  RoutingPolicy choice = PrefixAffinity{};
 };
 
 }  // namespace Hallchute
--- a/Hallchute/src/Daemon/AnswerRunner.cpp
+++ b/Hallchute/src/Daemon/AnswerRunner.cpp
@@ -86,7 +86,7 @@
   spec.wanted.expectedTokens = job.maxTokens - std::min(job.maxTokens, job_->tokenCount());
   spec.wanted.affinity = job.affinity;
   spec.wanted.prefixHashes = job.prefixHashes;
-  spec.wanted.avoid = excluded_;
+  spec.wanted.failedUpstreams = excluded_;
   spec.wanted.resumption = resumption_;
   spec.wanted.deadline = std::min(clockNow() + job.queueLimit, job.deadline);
   return spec;
--- a/Hallchute/src/Daemon/GrantSpec.h
+++ b/Hallchute/src/Daemon/GrantSpec.h
@@ -11,7 +11,7 @@
 #include <variant>
 #include <vector>
 
-#include "Hallchute/src/Admission/GrantWanted.h"
+#include "Hallchute/src/Admission/GrantRequest.h"
 #include "Hallchute/src/Core/Refusal.h"
 
 namespace Hallchute {
@@ -21,7 +21,7 @@
 struct GrantSpec {
   ServiceName service;
   /// Its id is set by the broker.
-  GrantWanted wanted;
+  GrantRequest wanted;
 };
 
 /// \brief A place at an upstream, given back when it goes out of scope. Any thread.
--- a/Hallchute/src/Daemon/PlainRunner.cpp
+++ b/Hallchute/src/Daemon/PlainRunner.cpp
@@ -45,7 +45,7 @@
   spec.wanted.weight = static_cast<double>(job_.organisation->weight);
   spec.wanted.priority = job_.workClass.priority;
   spec.wanted.expectedTokens = kCallCost;
-  spec.wanted.avoid = avoid_;
+  spec.wanted.failedUpstreams = avoid_;
   spec.wanted.deadline = std::min(clockNow() + job_.queueLimit, job_.deadline);
   return context_.acquire(spec);
 }
--- a/Hallchute/src/Daemon/ShardOwners.cpp
+++ b/Hallchute/src/Daemon/ShardOwners.cpp
@@ -65,12 +65,12 @@
   return *owner;
 }
 
-void ShardOwners::want(const ShardKey& shard, GrantWanted wanted, Sink sink, Instant now) {
+void ShardOwners::requestGrant(const ShardKey& shard, GrantRequest wanted, Sink sink, Instant now) {
   sinks_[wanted.id] = std::move(sink);
-  dispatch(ownerOf(shard, now).want(std::move(wanted), now));
+  dispatch(ownerOf(shard, now).requestGrant(std::move(wanted), now));
 }
 
-void ShardOwners::hold(const ShardKey& shard, const GrantHeld& held, Instant now) {
+void ShardOwners::hold(const ShardKey& shard, const ExistingGrant& held, Instant now) {
   ownerOf(shard, now).hold(held);
 }
 
--- a/Hallchute/src/Daemon/ShardOwners.h
+++ b/Hallchute/src/Daemon/ShardOwners.h
@@ -37,8 +37,8 @@
 
   GrantId newId() { return nextId_++; }
   /// \brief Asks for a place; \p sink is told each action until release().
-  void want(const ShardKey& shard, GrantWanted wanted, Sink sink, Instant now);
-  void hold(const ShardKey& shard, const GrantHeld& held, Instant now);
+  void requestGrant(const ShardKey& shard, GrantRequest wanted, Sink sink, Instant now);
+  void hold(const ShardKey& shard, const ExistingGrant& held, Instant now);
   void release(const ShardKey& shard, GrantId id, GrantEnd end, Instant now);
   void noteFirstToken(const ShardKey& shard, GrantId id, Instant now);
   /// \brief The upstreams or the settings have changed.
--- a/Hallchute/src/Fleet/FleetReport.h
+++ b/Hallchute/src/Fleet/FleetReport.h
@@ -42,7 +42,7 @@
 /// \brief For whom a report speaks. \ingroup Fleet
 enum class ReportScope : std::uint8_t {
   /// Its sender alone; the sender reports to every daemon.
-  everybody,
+  broadcast,
   /// Its sender alone; a relay passes it on.
   member,
   /// The sender and the daemons of its failure domain; goes to other relays.
@@ -62,7 +62,7 @@
   bool operator==(const DutyHolder&) const = default;
 
   /// \brief Takes over what another daemon knows, if that is later.
-  void learn(const DutyHolder& other) {
+  void mergeNewer(const DutyHolder& other) {
     if (other.epoch > epoch) *this = other;
     if (other.epoch == epoch && other.resigned) resigned = true;
   }
@@ -79,14 +79,14 @@
 
 /// \brief The age of what was never heard.
 /// \ingroup Fleet
-inline constexpr Millis kNeverHeard = std::chrono::hours(24);
+inline constexpr Millis kUnknownAge = std::chrono::hours(24);
 
 /// \brief What a daemon tells others several times a second. \ingroup Fleet
 ///
 /// All numbers are totals since its incarnation began: a lost report loses nothing.
 struct FleetReport {
   FleetMember self;
-  ReportScope scope = ReportScope::everybody;
+  ReportScope scope = ReportScope::broadcast;
   /// Time since the start of 1970: by the sender's host, or by the clocks of all whom it speaks
   /// for.
   Millis wallClock{0};
@@ -94,7 +94,7 @@
   /// Rises with the store's revision that its copy of the upstreams is complete to.
   std::uint64_t upstreamsVersion = 0;
   /// How long ago the store last answered anybody the sender hears of.
-  Millis storeAge{kNeverHeard};
+  Millis storeAge{kUnknownAge};
   SpentQuota spent;
   UpstreamLoads loads;
   /// Of those that the scope names.
--- a/Hallchute/src/Fleet/FleetRoster.cpp
+++ b/Hallchute/src/Fleet/FleetRoster.cpp
@@ -83,7 +83,7 @@
   return it == found.relays.end() ? DaemonId() : it->second;
 }
 
-bool FleetRoster::followsStore(Instant now) const {
+bool FleetRoster::watchesStore(Instant now) const {
   if (isSmall(now)) return true;
   const std::vector<DaemonId> followers = strongestOf(self_.domain, kFollowersOfDomain, now);
   return std::find(followers.begin(), followers.end(), self_.daemon) != followers.end();
@@ -155,7 +155,7 @@
   return now - started_ < FleetPeer::kKnownFor ? std::max(count, earlierSize_) : count;
 }
 
-bool FleetRoster::hasMet(Instant now) const {
+bool FleetRoster::discoveryComplete(Instant now) const {
   if (now - started_ >= kMeetTime) return true;
   // One that ran before this daemon's start knows the fleet and tells it at once.
   return std::any_of(peers_.begin(), peers_.end(), [&](const auto& entry) {
@@ -170,23 +170,23 @@
   fleet.heard = heard(now);
   fleet.reportLag = reportLag(now);
   const auto all = static_cast<double>(std::max<std::size_t>(1, known(now)));
-  fleet.meeting = !hasMet(now);
-  if (fleet.meeting) {
-    fleet.meetingLeft = std::chrono::duration_cast<Millis>(started_ + kMeetTime - now);
+  fleet.discovering = !discoveryComplete(now);
+  if (fleet.discovering) {
+    fleet.discoveryTimeLeft = std::chrono::duration_cast<Millis>(started_ + kMeetTime - now);
   }
-  if (!fleet.meeting || earlierSize_ > 0) fleet.ownPart = 1 / all;
-  fleet.heardPart = fleet.meeting ? fleet.ownPart.value_or(kUnmetPart)
-                                  : std::min(1.0, static_cast<double>(fleet.heard) / all);
+  if (!fleet.discovering || earlierSize_ > 0) fleet.ownShare = 1 / all;
+  fleet.liveFraction = fleet.discovering ? fleet.ownShare.value_or(kUnmetPart)
+                                         : std::min(1.0, static_cast<double>(fleet.heard) / all);
   return fleet;
 }
 
-std::uint64_t FleetRoster::heardIncarnation(const DaemonId& daemon, Instant now) const {
+std::uint64_t FleetRoster::liveIncarnation(const DaemonId& daemon, Instant now) const {
   const auto it = peers_.find(daemon);
   if (it == peers_.end() || !it->second.alive(now)) return 0;
   return it->second.report.self.incarnation;
 }
 
-std::map<DaemonId, std::uint64_t> FleetRoster::heardOthers(Instant now) const {
+std::map<DaemonId, std::uint64_t> FleetRoster::liveOthers(Instant now) const {
   std::map<DaemonId, std::uint64_t> heard;
   for (const auto& [daemon, peer] : peers_) {
     if (peer.alive(now)) heard[daemon] = peer.report.self.incarnation;
--- a/Hallchute/src/Fleet/FleetRoster.h
+++ b/Hallchute/src/Fleet/FleetRoster.h
@@ -53,17 +53,17 @@
   /// \brief The one that is to follow on the own domain's relay.
   DaemonId deputy(Instant now) const;
   /// \brief Whether this daemon is one of those of its domain that watch the store for others.
-  bool followsStore(Instant now) const;
+  bool watchesStore(Instant now) const;
   /// \brief How long what a daemon reports takes to reach all others.
   Millis reportLag(Instant now) const;
 
   std::size_t heard(Instant now) const;
   std::size_t known(Instant now) const;
   /// \brief Whether the others are likely to be known.
-  bool hasMet(Instant now) const;
+  bool discoveryComplete(Instant now) const;
   QuotaFleet quotaFleet(Instant now) const;
-  std::uint64_t heardIncarnation(const DaemonId& daemon, Instant now) const;
-  std::map<DaemonId, std::uint64_t> heardOthers(Instant now) const;
+  std::uint64_t liveIncarnation(const DaemonId& daemon, Instant now) const;
+  std::map<DaemonId, std::uint64_t> liveOthers(Instant now) const;
   std::vector<const FleetReport*> reports(Instant now) const;
   /// \brief Whether that incarnation of a daemon is heard of, so that it reports for itself.
   bool speaksForItself(const DaemonId& daemon, std::uint64_t incarnation, Instant now) const;
--- a/Hallchute/src/Fleet/FleetUsage.cpp
+++ b/Hallchute/src/Fleet/FleetUsage.cpp
@@ -56,7 +56,7 @@
   }
 }
 
-void FleetUsage::noteOwnWord(const FleetMember& member, const UsageByWindow& usage) {
+void FleetUsage::noteSelfReport(const FleetMember& member, const UsageByWindow& usage) {
   if (isSelf(member.daemon, member.incarnation)) return;
   Known& known = incarnation(member.daemon, member.incarnation, member.domain);
   const auto first = incarnations_.lower_bound({member.daemon, 0});
@@ -67,7 +67,7 @@
   if (!usage.empty()) dropBefore(known, usage.begin()->first);
 }
 
-void FleetUsage::noteHearsay(const IncarnationUsage& word) {
+void FleetUsage::noteIncarnation(const IncarnationUsage& word) {
   if (isSelf(word.daemon, word.incarnation)) return;
   UsageByWindow kept = word.usage;
   // Daemons whose clocks differ must not tell each other for ever what all have dropped.
--- a/Hallchute/src/Fleet/FleetUsage.h
+++ b/Hallchute/src/Fleet/FleetUsage.h
@@ -27,9 +27,9 @@
   explicit FleetUsage(FleetMember self) : self_(std::move(self)) {}
 
   /// \brief What an incarnation tells of itself.
-  void noteOwnWord(const FleetMember& member, const UsageByWindow& usage);
+  void noteSelfReport(const FleetMember& member, const UsageByWindow& usage);
   /// \brief What another daemon tells of an incarnation.
-  void noteHearsay(const IncarnationUsage& word);
+  void noteIncarnation(const IncarnationUsage& word);
   /// \brief What a relay of another failure domain tells of all its daemons.
   void noteDomainSums(const DomainName& domain, const UsageByWindow& sums);
   /// \brief What a relay tells this daemon of all others.
--- a/Hallchute/src/Fleet/FleetView.cpp
+++ b/Hallchute/src/Fleet/FleetView.cpp
@@ -35,7 +35,7 @@
 bool FleetView::counts(const FleetReport& report, Instant now) const {
   const bool ownDomain = report.self.domain == self().domain;
   switch (report.scope) {
-    case ReportScope::everybody:
+    case ReportScope::broadcast:
       return roster_.isSmall(now);
     case ReportScope::member:
       return ownDomain && roster_.isRelay(now);
@@ -71,9 +71,9 @@
       const auto before = last.spent.find(organisation);
       const bool from = comparable && before != last.spent.end();
       const double more = spent - (from ? before->second : 0);
-      if (more > 0) update.spentMore[organisation] = more;
+      if (more > 0) update.newlySpent[organisation] = more;
     }
-    countSpent(peer, report.scope, update.spentMore);
+    countSpent(peer, report.scope, update.newlySpent);
   }
   for (const UpstreamIncarnation& upstream : report.draining) {
     const auto& seen = last.draining;
@@ -106,9 +106,9 @@
 
 void FleetView::learnUsage(const FleetReport& report) {
   switch (report.scope) {
-    case ReportScope::everybody:
+    case ReportScope::broadcast:
     case ReportScope::member:
-      usage_.noteOwnWord(report.self, report.usage);
+      usage_.noteSelfReport(report.self, report.usage);
       break;
     case ReportScope::domain:
       usage_.noteDomainSums(report.self.domain, report.usage);
@@ -117,7 +117,7 @@
       usage_.noteFleetSums(report.usage);
       break;
   }
-  for (const IncarnationUsage& word : report.incarnations) usage_.noteHearsay(word);
+  for (const IncarnationUsage& word : report.incarnations) usage_.noteIncarnation(word);
 }
 
 /// Incarnations that can't tell their usage any more, and those whose word ends with this relay.
@@ -147,7 +147,7 @@
     const bool direct = FleetPeer::within(peer.reported, now, FleetPeer::kHeardFor);
     if (direct) ++heardDirectly;
     // One that reports to everybody doesn't know yet that there are relays.
-    const bool newcomer = peer.report.scope == ReportScope::everybody;
+    const bool newcomer = peer.report.scope == ReportScope::broadcast;
     const bool ward = tellsWards && peer.report.self.domain == self().domain;
     bool chosen = (direct && (newcomer || ward || misled(peer, now))) || daemon == ownRelay;
     if (small) chosen = FleetPeer::within(peer.seen, now, kTriedFor);
@@ -213,7 +213,7 @@
 }
 
 void FleetView::noteWhoIsHeard(Instant now) {
-  const bool all = roster_.hasMet(now) && roster_.heard(now) >= roster_.known(now);
+  const bool all = roster_.discoveryComplete(now) && roster_.heard(now) >= roster_.known(now);
   if (!all) hearsAllSince_.reset();
   if (all && !hearsAllSince_) hearsAllSince_ = now;
 }
--- a/Hallchute/src/Fleet/FleetView.h
+++ b/Hallchute/src/Fleet/FleetView.h
@@ -24,7 +24,7 @@
 
 /// \brief What a report told that was not known before. \ingroup Fleet
 struct FleetUpdate {
-  SpentQuota spentMore;
+  SpentQuota newlySpent;
   std::vector<UpstreamIncarnation> draining;
   /// The sender was not heard of, or has restarted.
   bool newIncarnation = false;
@@ -66,7 +66,7 @@
   /// \brief Daemons that are likely to run, heard or not, this one included.
   std::size_t known(Instant now) const { return roster_.known(now); }
   /// \brief Whether this daemon has had the time to meet the others since its start.
-  bool hasMet(Instant now) const { return roster_.hasMet(now); }
+  bool discoveryComplete(Instant now) const { return roster_.discoveryComplete(now); }
   /// \brief Whether all daemons that are likely to run have been heard for as long as it takes them
   /// to tell what they know of those that ended.
   bool usageComplete(Instant now) const;
@@ -83,12 +83,12 @@
   void forgetUsageBefore(std::int64_t firstWindow) { usage_.forgetBefore(firstWindow); }
   /// \brief Whether \p daemon was heard of lately, directly or by a relay; 0 if not, else its
   /// incarnation.
-  std::uint64_t heardIncarnation(const DaemonId& daemon, Instant now) const {
-    return roster_.heardIncarnation(daemon, now);
+  std::uint64_t liveIncarnation(const DaemonId& daemon, Instant now) const {
+    return roster_.liveIncarnation(daemon, now);
   }
   /// \brief All daemons heard of lately with their incarnations, but this one.
-  std::map<DaemonId, std::uint64_t> heardOthers(Instant now) const {
-    return roster_.heardOthers(now);
+  std::map<DaemonId, std::uint64_t> liveOthers(Instant now) const {
+    return roster_.liveOthers(now);
   }
   /// \brief Reports of daemons that were heard directly lately, by name.
   std::vector<const FleetReport*> reports(Instant now) const { return roster_.reports(now); }
@@ -99,7 +99,7 @@
   Millis reportLag(Instant now) const { return roster_.reportLag(now); }
   /// \brief Whether the others count on this daemon's watching the store: everybody in a small
   /// fleet, the two strongest of each failure domain in a larger one.
-  bool followsStore(Instant now) const { return roster_.followsStore(now); }
+  bool watchesStore(Instant now) const { return roster_.watchesStore(now); }
 
  private:
   const FleetMember& self() const { return roster_.self(); }
--- a/Hallchute/src/Fleet/LapsedUpstreams.h
+++ b/Hallchute/src/Fleet/LapsedUpstreams.h
@@ -21,10 +21,10 @@
  public:
   /// The time in which upstreams write themselves into a store that returned, as the platform
   /// states it, and a little for the news to arrive.
-  static constexpr Millis kBackWithin{2'200};
+  static constexpr Millis kReregistrationTime{2'200};
 
   /// \brief The store answers again after nobody heard of it for a while.
-  void noteReturn(Instant now) { until_ = now + kBackWithin; }
+  void noteStoreRecovery(Instant now) { until_ = now + kReregistrationTime; }
   bool holds(Instant now) const { return now < until_; }
   Instant until() const { return until_; }
   /// \brief \p listed and, soon after a return, those of \p before that it lacks.
--- a/Hallchute/src/Fleet/ReportSums.cpp
+++ b/Hallchute/src/Fleet/ReportSums.cpp
@@ -30,7 +30,7 @@
     const auto it = total.find(upstream);
     if (it == total.end()) continue;
     it->second.requests -= load.requests;
-    it->second.unreadTokens -= load.unreadTokens;
+    it->second.pendingPrefillTokens -= load.pendingPrefillTokens;
     if (it->second == UpstreamLoad{}) total.erase(it);
   }
 }
--- a/Hallchute/src/Fleet/StoreNews.cpp
+++ b/Hallchute/src/Fleet/StoreFreshness.cpp
@@ -1,7 +1,7 @@
 // This file is part of hallchute, a serving system for language models.
 // SPDX-License-Identifier: Apache-2.0
 
-#include "Hallchute/src/Fleet/StoreNews.h"
+#include "Hallchute/src/Fleet/StoreFreshness.h"
 
 #include <algorithm>
 
@@ -32,41 +32,41 @@
 
 }  // namespace
 
-StoreNews::StoreNews(Instant started)
-    : started_(started), heard_(started - kNeverHeard), toldAway_(heard_) {}
+StoreFreshness::StoreFreshness(Instant started)
+    : started_(started), heard_(started - kUnknownAge), toldAway_(heard_) {}
 
-bool StoreNews::noteReport(const FleetReport& report, const StoreState& own, Instant now) {
+bool StoreFreshness::noteReport(const FleetReport& report, const StoreState& own, Instant now) {
   const bool away = age(own, now) > kOldAfter;
   heard_ = std::max(heard_, now - report.storeAge);
   newestSettings_ = std::max(newestSettings_, report.settingsVersion);
   // Peers that have just started know nothing of an outage.
-  if (report.storeAge > kLapsesAfter && report.storeAge < kNeverHeard) toldAway_ = now;
+  if (report.storeAge > kLapsesAfter && report.storeAge < kUnknownAge) toldAway_ = now;
   // Without peers that said so, this daemon was out of reach and the store may have been there.
   return away && age(own, now) <= kOldAfter && now - toldAway_ <= kOldAfter;
 }
 
-Millis StoreNews::age(const StoreState& own, Instant now) const {
+Millis StoreFreshness::age(const StoreState& own, Instant now) const {
   if (own.inContact) return Millis(0);
   return std::max(Millis(0), std::chrono::duration_cast<Millis>(now - heard_));
 }
 
-bool StoreNews::mayBeOld(const StoreState& own, Instant now) const {
+bool StoreFreshness::mayBeStale(const StoreState& own, Instant now) const {
   return own.settingsVersion < newestSettings_ || age(own, now) > kOldAfter;
 }
 
-bool StoreNews::wasAway(Instant now) const {
+bool StoreFreshness::wasUnreachable(Instant now) const {
   return now - heard_ > kOldAfter;
 }
 
-FollowMode StoreNews::mode(bool follows, const StoreState& own, Instant now) const {
+FollowMode StoreFreshness::mode(bool follows, const StoreState& own, Instant now) const {
   if (follows) return FollowMode::following;
   const bool lost = now - std::max(heard_, started_) > kProbeAfter || own.settingsVersion == 0;
   return lost ? FollowMode::probing : FollowMode::off;
 }
 
-std::optional<std::string> StoreNews::peerToAsk(const StoreState& own,
-                                                std::span<const FleetReport* const> reports,
-                                                Instant now) {
+std::optional<std::string> StoreFreshness::snapshotPeer(const StoreState& own,
+                                                        std::span<const FleetReport* const> reports,
+                                                        Instant now) {
   const FleetReport* best = nullptr;
   for (const FleetReport* report : reports) {
     if (!isAhead(*report, own)) continue;
--- a/Hallchute/src/Fleet/StoreNews.h
+++ b/Hallchute/src/Fleet/StoreFreshness.h
@@ -1,8 +1,8 @@
 // This file is part of hallchute, a serving system for language models.
 // SPDX-License-Identifier: Apache-2.0
 
-#ifndef HALLCHUTE_FLEET_STORENEWS_H
-#define HALLCHUTE_FLEET_STORENEWS_H
+#ifndef HALLCHUTE_FLEET_STOREFRESHNESS_H
+#define HALLCHUTE_FLEET_STOREFRESHNESS_H
 
 #include <cstdint>
 #include <optional>
@@ -38,24 +38,24 @@
 ///
 /// Calls to the store are paid for, watches that wait too. In a large fleet two daemons of each
 /// failure domain watch; the others hear of newer versions by the reports and ask the teller.
-class StoreNews {
+class StoreFreshness {
  public:
   /// \param started a daemon that starts has a moment to meet its peers before it probes.
-  explicit StoreNews(Instant started);
+  explicit StoreFreshness(Instant started);
 
   /// \returns whether it brings the store back: before, peers said that it answered none of them.
   bool noteReport(const FleetReport& report, const StoreState& own, Instant now);
   /// \brief How long ago the store last answered anybody this daemon hears of.
   Millis age(const StoreState& own, Instant now) const;
   /// \brief Whether the store was away from all peers too, as far as their reports tell.
-  bool wasAway(Instant now) const;
+  bool wasUnreachable(Instant now) const;
   /// \brief Whether newer settings may exist that this daemon can't hear of.
-  bool mayBeOld(const StoreState& own, Instant now) const;
+  bool mayBeStale(const StoreState& own, Instant now) const;
   /// \param follows whether the fleet counts on this daemon's watching.
   FollowMode mode(bool follows, const StoreState& own, Instant now) const;
   /// \brief The address of a peer to ask for a snapshot now, if any.
-  std::optional<std::string> peerToAsk(const StoreState& own,
-                                       std::span<const FleetReport* const> reports, Instant now);
+  std::optional<std::string> snapshotPeer(const StoreState& own,
+                                          std::span<const FleetReport* const> reports, Instant now);
 
  private:
   Instant started_;
@@ -73,4 +73,4 @@
 
 }  // namespace Hallchute
 
-#endif  // HALLCHUTE_FLEET_STORENEWS_H
+#endif  // HALLCHUTE_FLEET_STOREFRESHNESS_H
--- a/Hallchute/src/Fleet/UpstreamCopy.h
+++ b/Hallchute/src/Fleet/UpstreamCopy.h
@@ -24,11 +24,11 @@
  public:
   /// \brief The store answers again after an outage: entries that it lacks are held for a while.
   /// \returns false if there are none to hold.
-  bool noteReturn(Instant now);
+  bool noteStoreRecovery(Instant now);
   /// \brief Takes a list that the store gave, to this daemon or to a peer.
   /// \param version the store's revision that it is complete to.
   /// \returns whether upstreams() changed.
-  bool take(std::vector<UpstreamRecord> listed, std::uint64_t version, Instant now);
+  bool update(std::vector<UpstreamRecord> listed, std::uint64_t version, Instant now);
   /// \brief Gives up held entries whose time is over. \returns whether upstreams() changed.
   bool dropLapsed(Instant now);
   /// \brief The revision of listed(); 0 if there is no list.
--- a/Hallchute/src/Gateway/GatewaySettings.h
+++ b/Hallchute/src/Gateway/GatewaySettings.h
@@ -46,13 +46,13 @@
   /// Within it an answer, or a stream's first event, is in time.
   Millis latencyObjective{1'000};
   /// The longest pause between events that keeps a stream in time; zero for other kinds.
-  Millis pauseObjective{0};
+  Millis gapObjective{0};
   /// 0 is the most urgent.
   int priority = 0;
   /// Upstreams at which one request may run.
   int maxRuns = 1;
   /// Needs no key.
-  bool open = false;
+  bool allowsAnonymous = false;
   /// A broken stream may go on at another upstream.
   bool resumable = false;
   /// Requests share prompt parts that engines keep.
@@ -101,7 +101,7 @@
   /// Whether rate and burst count tokens rather than requests.
   bool countsTokens = false;
   /// What a request counts that tells no tokens.
-  std::uint64_t plainTokens = 1;
+  std::uint64_t defaultTokens = 1;
   /// Per second over all daemons; 0 is no limit.
   double rate = 0;
   double burst = 0;
--- a/Hallchute/src/Gateway/QuotaLedger.cpp
+++ b/Hallchute/src/Gateway/QuotaLedger.cpp
@@ -48,7 +48,7 @@
   const std::chrono::duration<double> passed = now - bucket.filled;
   bucket.filled = now;
   bucket.level =
-      std::min(bucket.burst, bucket.level + passed.count() * bucket.rate * fleet_.heardPart);
+      std::min(bucket.burst, bucket.level + passed.count() * bucket.rate * fleet_.liveFraction);
 }
 
 QuotaLedger::Bucket& QuotaLedger::bucketOf(const GatewayOrganisation& organisation, Instant now) {
@@ -79,24 +79,24 @@
 
 double QuotaLedger::tolerated(const Bucket& bucket) const {
   const std::chrono::duration<double> window = tolerance_.window;
-  return tolerance_.part * (bucket.rate * window.count() + bucket.burst) + tolerance_.slack;
+  return tolerance_.fraction * (bucket.rate * window.count() + bucket.burst) + tolerance_.slack;
 }
 
 double QuotaLedger::startLevel(const Bucket& bucket) const {
   const double whole = std::min(bucket.burst, tolerated(bucket) * kToleranceAtStart);
-  return whole * fleet_.ownPart.value_or(0);
+  return whole * fleet_.ownShare.value_or(0);
 }
 
-double QuotaLedger::unheard(const Bucket& bucket, Instant now) const {
+double QuotaLedger::unreported(const Bucket& bucket, Instant now) const {
   // One daemon's few requests tell little of the others': what they spend tells more, though it
   // stays behind what they are asked while quotas bind.
   const double byOwn = bucket.asked * static_cast<double>(fleet_.heard);
-  const double byOthers = bucket.elsewhere * kAskedOverSpent;
+  const double byOthers = bucket.peerLoad * kAskedOverSpent;
   const std::chrono::duration<double> lag = fleet_.heard > 1 ? fleet_.reportLag : Millis(0);
   const double asked = std::min(byOwn, byOthers) * lag.count();
   const bool early = now - started_ < tolerance_.window;
-  const double part = early ? kToleranceUsedAtStart : kToleranceUsed;
-  return std::max(0.0, asked - tolerated(bucket) * part);
+  const double fraction = early ? kToleranceUsedAtStart : kToleranceUsed;
+  return std::max(0.0, asked - tolerated(bucket) * fraction);
 }
 
 /// How long a bucket takes to gain an amount. A fleet of unknown size spends next to nothing until
@@ -104,9 +104,9 @@
 double QuotaLedger::fillMs(const Bucket& bucket, double amount) const {
   constexpr double kMsPerS = 1'000;
   const double wholeRate = amount / bucket.rate * kMsPerS;
-  const double byHeard = wholeRate / fleet_.heardPart;
-  if (!fleet_.meeting || fleet_.ownPart) return byHeard;
-  return std::min(byHeard, static_cast<double>(fleet_.meetingLeft.count()) + wholeRate);
+  const double byHeard = wholeRate / fleet_.liveFraction;
+  if (!fleet_.discovering || fleet_.ownShare) return byHeard;
+  return std::min(byHeard, static_cast<double>(fleet_.discoveryTimeLeft.count()) + wholeRate);
 }
 
 std::optional<QuotaShortage> QuotaLedger::take(const GatewayOrganisation& organisation,
@@ -114,7 +114,7 @@
   if (organisation.rate <= 0) return std::nullopt;
   Bucket& bucket = bucketOf(organisation, now);
   noteRate(bucket.asked, bucket.askedAt, kAskedMemoryS, amount, now);
-  const double ahead = unheard(bucket, now);
+  const double ahead = unreported(bucket, now);
   // A request larger than the burst is admitted from a full bucket, and what it owes is paid later.
   const double needed = std::min(amount, bucket.burst);
   const bool drawn = bucket.level >= ahead || draw * ahead < bucket.level;
@@ -126,11 +126,11 @@
   const double missing = std::min(needed + ahead, bucket.burst) - bucket.level;
   const double waitMs = std::max(kLeastWaitMs, std::ceil(fillMs(bucket, missing)));
   // All that are refused at a time must not come back at a time.
-  const Millis comeBack(static_cast<Millis::rep>(waitMs * (1 + draw)));
-  return QuotaShortage{comeBack, bucket.level, needed, ahead};
+  const Millis retryDelay(static_cast<Millis::rep>(waitMs * (1 + draw)));
+  return QuotaShortage{retryDelay, bucket.level, needed, ahead};
 }
 
-void QuotaLedger::giveBack(const OrganisationName& organisation, double amount) {
+void QuotaLedger::refund(const OrganisationName& organisation, double amount) {
   const auto it = buckets_.find(organisation);
   if (it == buckets_.end()) return;
   it->second.level = std::min(it->second.burst, it->second.level + amount);
@@ -141,28 +141,28 @@
   const auto it = buckets_.find(organisation);
   if (it == buckets_.end()) return;
   Bucket& bucket = it->second;
-  if (!fleet_.meeting) bucket.level -= amount;
-  noteRate(bucket.elsewhere, bucket.heard, kRateMemoryS, amount, now);
+  if (!fleet_.discovering) bucket.level -= amount;
+  noteRate(bucket.peerLoad, bucket.heard, kRateMemoryS, amount, now);
 }
 
-void QuotaLedger::noteHeardPart(double part, Instant now) {
-  const double kept = part / fleet_.heardPart;
+void QuotaLedger::noteHeardPart(double fraction, Instant now) {
+  const double kept = fraction / fleet_.liveFraction;
   for (auto& [name, bucket] : buckets_) {
     refill(bucket, now);
     if (kept >= 1) continue;
     // What the lost ones spent until their silence was noticed, and their part of what is left.
-    bucket.level -= bucket.elsewhere * kUnnoticedS * (1 - kept);
+    bucket.level -= bucket.peerLoad * kUnnoticedS * (1 - kept);
     if (bucket.level > 0) bucket.level *= kept;
   }
 }
 
 void QuotaLedger::setFleet(const QuotaFleet& fleet, Instant now) {
-  noteHeardPart(fleet.heardPart, now);
-  const bool sizeKnown = fleet_.ownPart.has_value();
-  const std::optional<double> first = sizeKnown ? fleet_.ownPart : fleet.ownPart;
+  noteHeardPart(fleet.liveFraction, now);
+  const bool sizeKnown = fleet_.ownShare.has_value();
+  const std::optional<double> first = sizeKnown ? fleet_.ownShare : fleet.ownShare;
   fleet_ = fleet;
   // Later sizes change what is heard, not what was there at the start.
-  fleet_.ownPart = first;
+  fleet_.ownShare = first;
   if (sizeKnown || !first) return;
   for (auto& [name, bucket] : buckets_) bucket.level += startLevel(bucket);
 }
--- a/Hallchute/src/Gateway/QuotaLedger.h
+++ b/Hallchute/src/Gateway/QuotaLedger.h
@@ -24,7 +24,7 @@
 /// \brief By how much the operator lets an organisation's quota be overdrawn. \ingroup Gateway
 struct QuotaTolerance {
   /// Part of what the quota allows in a window.
-  double part = 0;
+  double fraction = 0;
   /// On top, in the quota's unit.
   double slack = 0;
   Millis window{8'000};
@@ -53,7 +53,7 @@
   std::optional<QuotaShortage> take(const GatewayOrganisation& organisation, double amount,
                                     Instant now, double draw = 0);
   /// \brief Gives back what was taken for a request that did not run.
-  void giveBack(const OrganisationName& organisation, double amount);
+  void refund(const OrganisationName& organisation, double amount);
   /// \brief Another daemon admitted \p amount more than was known of it.
   void noteSpentElsewhere(const OrganisationName& organisation, double amount, Instant now);
   /// \brief How the others are heard now. The first known share of the fleet fills the buckets to
@@ -74,7 +74,7 @@
     double asked = 0;
     Instant askedAt{};
     /// What others spend per second, as heard lately.
-    double elsewhere = 0;
+    double peerLoad = 0;
     Instant heard{};
   };
 
@@ -82,9 +82,9 @@
   double tolerated(const Bucket& bucket) const;
   /// What a bucket holds at this daemon's start.
   double startLevel(const Bucket& bucket) const;
-  void noteHeardPart(double part, Instant now);
+  void noteHeardPart(double fraction, Instant now);
   /// What the fleet is likely to admit before this daemon hears of it, beyond what is tolerated.
-  double unheard(const Bucket& bucket, Instant now) const;
+  double unreported(const Bucket& bucket, Instant now) const;
   double fillMs(const Bucket& bucket, double amount) const;
   void refill(Bucket& bucket, Instant now) const;
   Bucket& bucketOf(const GatewayOrganisation& organisation, Instant now);
--- a/Hallchute/src/Gateway/QuotaShortage.h
+++ b/Hallchute/src/Gateway/QuotaShortage.h
@@ -11,13 +11,13 @@
 /// \brief Why a quota has no room for a request; amounts in the quota's unit. \ingroup Gateway
 struct QuotaShortage {
   /// When the caller may come back.
-  Millis comeBack{0};
+  Millis retryDelay{0};
   /// What the bucket holds; below 0 if more was admitted than there was.
   double level = 0;
   /// What it would have to hold.
   double needed = 0;
   /// What other daemons are likely to admit before this one hears of it.
-  double unheard = 0;
+  double unreported = 0;
 };
 
 }  // namespace Hallchute
--- a/Hallchute/src/Gateway/UpstreamLoad.h
+++ b/Hallchute/src/Gateway/UpstreamLoad.h
@@ -16,11 +16,11 @@
   /// Requests under way.
   std::uint32_t requests = 0;
   /// Prompt tokens of those whose answer has not begun: a later request waits until they are read.
-  std::uint64_t unreadTokens = 0;
+  std::uint64_t pendingPrefillTokens = 0;
 
   UpstreamLoad& operator+=(const UpstreamLoad& more) {
     requests += more.requests;
-    unreadTokens += more.unreadTokens;
+    pendingPrefillTokens += more.pendingPrefillTokens;
     return *this;
   }
   bool operator==(const UpstreamLoad&) const = default;
--- a/Hallchute/src/Gateway/UpstreamPick.cpp
+++ b/Hallchute/src/Gateway/UpstreamPick.cpp
@@ -51,16 +51,16 @@
 
 enum class Tier { sound, shunned, gone, unfit };
 
-Tier tierOf(const UpstreamTable& table, const UpstreamEntry& entry, const UpstreamWish& wish,
+Tier tierOf(const UpstreamTable& table, const UpstreamEntry& entry, const UpstreamCriteria& wish,
             Instant now) {
   if (entry.record.service != wish.service) return Tier::unfit;
   if (entry.record.state == UpstreamState::draining) return Tier::unfit;
   if (wish.tried.contains(entry.record.id)) return Tier::unfit;
-  if (entry.goneSince) {
-    return now - *entry.goneSince <= kUseAfterGone ? Tier::gone : Tier::unfit;
+  if (entry.unlistedSince) {
+    return now - *entry.unlistedSince <= kUseAfterGone ? Tier::gone : Tier::unfit;
   }
   const bool shunned =
-      now < entry.shunnedUntil || table.domainUnreachable(entry.record.domain, now);
+      now < entry.ejectedUntil || table.domainUnreachable(entry.record.domain, now);
   return shunned ? Tier::shunned : Tier::sound;
 }
 
@@ -85,7 +85,7 @@
 }
 
 const UpstreamEntry* pickHome(std::span<const UpstreamEntry* const> entries,
-                              const UpstreamWish& wish) {
+                              const UpstreamCriteria& wish) {
   double total = 0;
   for (const UpstreamEntry* entry : entries) total += entry->load();
   const double bound = kLoadBound * total / static_cast<double>(entries.size()) + kLoadSlack;
@@ -95,10 +95,10 @@
   }
   const UpstreamEntry* best = homes.front().entry;
   const double reading = kReadAgainCost * static_cast<double>(wish.sharedTokens) + kReadSlack;
-  double bestCost = static_cast<double>(best->unreadTokens());
+  double bestCost = static_cast<double>(best->pendingPrefillTokens());
   for (const Candidate& candidate : homes) {
     if (candidate.entry == nullptr || candidate.entry == homes.front().entry) continue;
-    const double cost = static_cast<double>(candidate.entry->unreadTokens()) + reading;
+    const double cost = static_cast<double>(candidate.entry->pendingPrefillTokens()) + reading;
     if (cost >= bestCost) continue;
     best = candidate.entry;
     bestCost = cost;
@@ -111,7 +111,7 @@
 }
 
 /// What of an upstream is taken, in parts of its slots, with what its distance counts.
-double taken(const UpstreamEntry& entry, const UpstreamWish& wish, double requests) {
+double taken(const UpstreamEntry& entry, const UpstreamCriteria& wish, double requests) {
   const double foreign = entry.record.domain == wish.ownDomain ? 0 : kForeignCost;
   return requests / slotsOf(entry) + foreign;
 }
@@ -131,7 +131,7 @@
 }
 
 const UpstreamEntry* pickLeastLoaded(std::span<const UpstreamEntry* const> entries,
-                                     const UpstreamWish& wish) {
+                                     const UpstreamCriteria& wish) {
   return cheapest(entries, [&](const UpstreamEntry& entry) {
     // The draw only breaks ties: it is worth less than one request.
     return taken(entry, wish, entry.load() + draw(entry, wish.requestId));
@@ -144,7 +144,7 @@
 /// and 168 ms waited by the 95th of 100 with the least loaded one, none and 16 ms with draws; with
 /// one upstream at a third of its speed 1.2% and 355 ms, none and 66 ms.
 const UpstreamEntry* pickByRoom(std::span<const UpstreamEntry* const> entries,
-                                const UpstreamWish& wish) {
+                                const UpstreamCriteria& wish) {
   return cheapest(entries, [&](const UpstreamEntry& entry) {
     const double room = std::max(kLeastRoom, 1 - taken(entry, wish, entry.load()));
     // The first of several exponential clocks: each wins in proportion to its rate.
@@ -153,7 +153,7 @@
 }
 
 const UpstreamEntry* pickFree(std::span<const UpstreamEntry* const> entries,
-                              const UpstreamWish& wish) {
+                              const UpstreamCriteria& wish) {
   double own = 0;
   double all = 0;
   for (const UpstreamEntry* entry : entries) {
@@ -165,7 +165,7 @@
 
 }  // namespace
 
-const UpstreamEntry* pickUpstream(const UpstreamTable& table, const UpstreamWish& wish,
+const UpstreamEntry* pickUpstream(const UpstreamTable& table, const UpstreamCriteria& wish,
                                   Instant now) {
   std::vector<const UpstreamEntry*> fit;
   Tier best = Tier::unfit;
@@ -180,19 +180,19 @@
   return wish.affinity.empty() ? pickFree(fit, wish) : pickHome(fit, wish);
 }
 
-const UpstreamEntry* cacheSource(const UpstreamTable& table, const UpstreamWish& wish,
+const UpstreamEntry* cacheSource(const UpstreamTable& table, const UpstreamCriteria& wish,
                                  const UpstreamEntry& chosen, Instant now) {
-  const bool fresh = now - chosen.knownSince < kFillTime;
+  const bool fresh = now - chosen.listedSince < kFillTime;
   const double chosenDraw = draw(chosen, wish.affinity);
   const UpstreamEntry* best = nullptr;
   double bestDraw = -1;
   for (const auto& [id, entry] : table.entries()) {
     if (id == chosen.record.id || entry.record.service != wish.service) continue;
     // One that is leaving still gives its cache away.
-    if (entry.goneSince || now < entry.shunnedUntil) continue;
+    if (entry.unlistedSince || now < entry.ejectedUntil) continue;
     if (table.domainUnreachable(entry.record.domain, now)) continue;
     const double drawn = draw(entry, wish.affinity);
-    const bool wasHome = fresh ? entry.knownSince < chosen.knownSince : drawn > chosenDraw;
+    const bool wasHome = fresh ? entry.listedSince < chosen.listedSince : drawn > chosenDraw;
     if (!wasHome || drawn <= bestDraw) continue;
     best = &entry;
     bestDraw = drawn;
--- a/Hallchute/src/Gateway/UpstreamPick.h
+++ b/Hallchute/src/Gateway/UpstreamPick.h
@@ -13,7 +13,7 @@
 namespace Hallchute {
 
 /// \brief What a request wants of its upstream. \ingroup Gateway
-struct UpstreamWish {
+struct UpstreamCriteria {
   ServiceName service;
   /// Requests with the same one share prompt parts; empty where nothing is shared.
   std::string affinity;
@@ -34,13 +34,13 @@
 /// load itself, else a draw by free room; with a preference for the own failure domain. Upstreams
 /// that are shunned, or that the directory no longer lists, serve only if no other is left, the
 /// latter for a short while. Cost: one pass and one hash an upstream.
-const UpstreamEntry* pickUpstream(const UpstreamTable& table, const UpstreamWish& wish,
+const UpstreamEntry* pickUpstream(const UpstreamTable& table, const UpstreamCriteria& wish,
                                   Instant now);
 
 /// \brief The upstream that is likely to keep the prompt parts which \p chosen lacks: the subject's
 /// home before, if it is leaving, busy, or was the home until \p chosen came; null if \p chosen is
 /// likely to keep them itself. Cost: one pass and one hash an upstream.
-const UpstreamEntry* cacheSource(const UpstreamTable& table, const UpstreamWish& wish,
+const UpstreamEntry* cacheSource(const UpstreamTable& table, const UpstreamCriteria& wish,
                                  const UpstreamEntry& chosen, Instant now);
 
 }  // namespace Hallchute
--- a/Hallchute/src/Gateway/UpstreamRecord.h
+++ b/Hallchute/src/Gateway/UpstreamRecord.h
@@ -42,7 +42,7 @@
   /// It was ordered as one that the platform may take away.
   bool reclaimable = false;
   /// How much longer it is slow from its start.
-  Millis coldFor{0};
+  Millis warmupRemaining{0};
   /// When it started, in ms since 1970; 0 if it doesn't tell. With another one it is a new process
   /// that holds and knows nothing of the one before.
   std::uint64_t incarnation = 0;
--- a/Hallchute/src/Gateway/UpstreamTable.cpp
+++ b/Hallchute/src/Gateway/UpstreamTable.cpp
@@ -64,18 +64,18 @@
       fresh.leaving = entry.leaving;
       entry = std::move(fresh);
     }
-    if ((!known && !first) || restarted) entry.knownSince = now;
+    if ((!known && !first) || restarted) entry.listedSince = now;
     entry.record = record;
     if (!restarted && record.incarnation == 0) entry.record.incarnation = before;
-    entry.goneSince.reset();
+    entry.unlistedSince.reset();
     // One that once said that it leaves doesn't come back as the same process.
     const bool left = entry.leaving == entry.record.incarnation;
     if (left) entry.record.state = UpstreamState::draining;
     if (entry.record.state == UpstreamState::draining) entry.leaving = entry.record.incarnation;
   }
   for (auto& [id, entry] : entries_) {
-    if (listed.contains(id) || entry.goneSince) continue;
-    entry.goneSince = now;
+    if (listed.contains(id) || entry.unlistedSince) continue;
+    entry.unlistedSince = now;
     gone.push_back(id);
   }
   return gone;
@@ -109,18 +109,19 @@
                                    std::optional<std::uint64_t> incarnation) {
   UpstreamEntry* const entry = findIncarnation(upstream, incarnation);
   if (entry == nullptr) return;
-  std::uint64_t& unread = entry->own.unreadTokens;
+  std::uint64_t& unread = entry->own.pendingPrefillTokens;
   unread -= std::min(unread, promptTokens);
 }
 
 void UpstreamTable::noteFailure(UpstreamEntry& entry, Instant now) {
-  ++entry.failuresInARow;
-  if (entry.failuresInARow < kFailuresToShun) return;
+  ++entry.consecutiveFailures;
+  if (entry.consecutiveFailures < kFailuresToShun) return;
   Millis shun = kFirstShun;
-  for (std::uint32_t i = kFailuresToShun; i < entry.failuresInARow && shun < kLongestShun; ++i) {
+  for (std::uint32_t i = kFailuresToShun; i < entry.consecutiveFailures && shun < kLongestShun;
+       ++i) {
     shun *= 2;
   }
-  entry.shunnedUntil = now + std::min(shun, kLongestShun);
+  entry.ejectedUntil = now + std::min(shun, kLongestShun);
 }
 
 void UpstreamTable::noteEnded(const UpstreamId& upstream, DispatchResult result, Instant now,
@@ -132,14 +133,14 @@
   switch (result) {
     case DispatchResult::answered:
       troubles_.erase(entry.record.domain);
-      entry.failuresInARow = 0;
-      entry.shunnedUntil = {};
+      entry.consecutiveFailures = 0;
+      entry.ejectedUntil = {};
       return;
     case DispatchResult::rejected:
-      entry.shunnedUntil = std::max(entry.shunnedUntil, now + kRejectedShun);
+      entry.ejectedUntil = std::max(entry.ejectedUntil, now + kRejectedShun);
       return;
     case DispatchResult::unreachable:
-      entry.shunnedUntil = std::max(entry.shunnedUntil, now + kUnreachableShun);
+      entry.ejectedUntil = std::max(entry.ejectedUntil, now + kUnreachableShun);
       noteFailure(entry, now);
       noteUnreachable(entry, now);
       return;
@@ -166,22 +167,24 @@
   return it != troubles_.end() && now < it->second.until;
 }
 
-void UpstreamTable::noteReplaced(const UpstreamId& upstream, Instant now) {
+void UpstreamTable::noteAddressReused(const UpstreamId& upstream, Instant now) {
   const auto it = entries_.find(upstream);
-  if (it != entries_.end() && !it->second.goneSince) it->second.goneSince = now - kForgetAfter;
+  if (it != entries_.end() && !it->second.unlistedSince)
+    it->second.unlistedSince = now - kForgetAfter;
 }
 
-void UpstreamTable::setLoadsElsewhere(const UpstreamLoads& loads) {
+void UpstreamTable::setPeerLoads(const UpstreamLoads& loads) {
   for (auto& [id, entry] : entries_) {
     const auto it = loads.find(id);
-    entry.elsewhere = it == loads.end() ? UpstreamLoad{} : it->second;
+    entry.peerLoad = it == loads.end() ? UpstreamLoad{} : it->second;
   }
 }
 
 void UpstreamTable::sweep(Instant now) {
   std::erase_if(entries_, [&](const auto& item) {
     const UpstreamEntry& entry = item.second;
-    return entry.goneSince && entry.own.requests == 0 && now - *entry.goneSince > kForgetAfter;
+    return entry.unlistedSince && entry.own.requests == 0 &&
+           now - *entry.unlistedSince > kForgetAfter;
   });
 }
 
--- a/Hallchute/src/Gateway/UpstreamTable.h
+++ b/Hallchute/src/Gateway/UpstreamTable.h
@@ -41,21 +41,23 @@
 struct UpstreamEntry {
   UpstreamRecord record;
   /// When the directory first listed it; the start of this daemon for those that were there.
-  Instant knownSince{};
+  Instant listedSince{};
   /// Set when the directory stopped listing it.
-  std::optional<Instant> goneSince;
+  std::optional<Instant> unlistedSince;
   /// No work goes there until then, unless there is nobody else.
-  Instant shunnedUntil{};
-  std::uint32_t failuresInARow = 0;
+  Instant ejectedUntil{};
+  std::uint32_t consecutiveFailures = 0;
   /// The last incarnation that is known to take no new work, by the directory or a peer.
   std::optional<std::uint64_t> leaving;
   /// What it has to do for this daemon.
   UpstreamLoad own;
   /// For the others, as last heard.
-  UpstreamLoad elsewhere;
+  UpstreamLoad peerLoad;
 
-  std::uint32_t load() const { return own.requests + elsewhere.requests; }
-  std::uint64_t unreadTokens() const { return own.unreadTokens + elsewhere.unreadTokens; }
+  std::uint32_t load() const { return own.requests + peerLoad.requests; }
+  std::uint64_t pendingPrefillTokens() const {
+    return own.pendingPrefillTokens + peerLoad.pendingPrefillTokens;
+  }
 };
 
 /// \brief The upstreams with their state, load and recent failures. One thread; no I/O, no clock.
@@ -79,8 +81,8 @@
   void noteEnded(const UpstreamId& upstream, DispatchResult result, Instant now,
                  std::optional<std::uint64_t> incarnation = {});
   /// \brief The address belongs to another upstream now.
-  void noteReplaced(const UpstreamId& upstream, Instant now);
-  void setLoadsElsewhere(const UpstreamLoads& loads);
+  void noteAddressReused(const UpstreamId& upstream, Instant now);
+  void setPeerLoads(const UpstreamLoads& loads);
   /// \brief Forgets upstreams that are gone and have no work left.
   void sweep(Instant now);
 
--- a/Hallchute/src/Node/FleetWire.h
+++ b/Hallchute/src/Node/FleetWire.h
@@ -19,7 +19,7 @@
   return std::tie(m.daemon, m.address, m.incarnation, m.domain, m.capacity);
 }
 inline auto wireFields(UpstreamLoad& m) {
-  return std::tie(m.requests, m.unreadTokens);
+  return std::tie(m.requests, m.pendingPrefillTokens);
 }
 inline auto wireFields(UpstreamIncarnation& m) {
   return std::tie(m.id, m.incarnation);
@@ -36,8 +36,8 @@
                   m.membersUnchanged, m.leaving);
 }
 inline auto wireFields(UpstreamRecord& m) {
-  return std::tie(m.id, m.service, m.address, m.domain, m.slots, m.state, m.reclaimable, m.coldFor,
-                  m.incarnation);
+  return std::tie(m.id, m.service, m.address, m.domain, m.slots, m.state, m.reclaimable,
+                  m.warmupRemaining, m.incarnation);
 }
 inline auto wireFields(FleetSnapshot& m) {
   return std::tie(m.settingsVersion, m.settingsText, m.upstreamsVersion, m.upstreams);
--- a/Hallchute/src/Node/GatewayNode.h
+++ b/Hallchute/src/Node/GatewayNode.h
@@ -66,7 +66,7 @@
   void noteEarlierSize(std::size_t daemons);
   void tellTraffic(Instant now);
   void logClock(Millis hostClock, Instant now);
-  void logFleet(const FleetTold& told, Instant now);
+  void logFleet(const FleetTrafficView& told, Instant now);
   void takeReport(const FleetReport& report);
   void stopTurn(Instant began);
 
--- a/Hallchute/src/Relay/EventSplitter.h
+++ b/Hallchute/src/Relay/EventSplitter.h
@@ -27,7 +27,7 @@
   /// \brief The next whole event, up to and with its empty line.
   std::optional<StreamEvent> next();
   /// \brief Bytes after the last whole event.
-  const std::string& rest() const { return pending_; }
+  const std::string& incompleteEvent() const { return pending_; }
 
  private:
   std::string pending_;
--- a/Hallchute/src/Relay/RelayAction.h
+++ b/Hallchute/src/Relay/RelayAction.h
@@ -14,7 +14,7 @@
 /// Choose an upstream and send the request there.
 struct Dispatch {
   /// An earlier dispatch arrived at an upstream: this one draws on the retry budget.
-  bool repeat = false;
+  bool retry = false;
   /// The stream goes on after the last event that was passed.
   bool resume = false;
   bool operator==(const Dispatch&) const = default;
@@ -24,17 +24,17 @@
   bool operator==(const Cancel&) const = default;
 };
 /// Pass the event, after the answer's head if it is the first.
-struct PassPiece {
+struct ForwardEvent {
   bool first = false;
-  bool operator==(const PassPiece&) const = default;
+  bool operator==(const ForwardEvent&) const = default;
 };
 /// The stream is complete.
-struct PassEnd {
-  bool operator==(const PassEnd&) const = default;
+struct EndStream {
+  bool operator==(const EndStream&) const = default;
 };
 /// Pass the whole answer that came last.
-struct PassWhole {
-  bool operator==(const PassWhole&) const = default;
+struct ForwardResponse {
+  bool operator==(const ForwardResponse&) const = default;
 };
 /// Tell the caller that the request did not run and when to come back.
 struct Refuse {
@@ -42,21 +42,21 @@
 };
 /// Tell the caller that the request may have run.
 struct Fail {
-  bool timeUp = false;
+  bool deadlineExceeded = false;
   bool operator==(const Fail&) const = default;
 };
 /// End a started stream so that it can't be taken for complete.
-struct BreakOff {
-  bool operator==(const BreakOff&) const = default;
+struct AbortStream {
+  bool operator==(const AbortStream&) const = default;
 };
 
 }  // namespace RelayActions
 
 /// \ingroup Relay
 using RelayAction =
-    std::variant<RelayActions::Dispatch, RelayActions::Cancel, RelayActions::PassPiece,
-                 RelayActions::PassEnd, RelayActions::PassWhole, RelayActions::Refuse,
-                 RelayActions::Fail, RelayActions::BreakOff>;
+    std::variant<RelayActions::Dispatch, RelayActions::Cancel, RelayActions::ForwardEvent,
+                 RelayActions::EndStream, RelayActions::ForwardResponse, RelayActions::Refuse,
+                 RelayActions::Fail, RelayActions::AbortStream>;
 
 }  // namespace Hallchute
 
--- a/Hallchute/src/Relay/RelayEvent.h
+++ b/Hallchute/src/Relay/RelayEvent.h
@@ -14,32 +14,33 @@
 /// The request was admitted: the first dispatch may go out.
 struct Begin {};
 /// There is nobody to dispatch to, or the retry budget is empty.
-struct NobodyToAsk {};
+struct NoUpstreamAvailable {};
 /// The dispatch provably never left this host.
 struct NotSent {};
 /// The upstream says that it did not run the request.
 struct NotExecuted {};
 /// A whole event of a stream came.
-struct Piece {};
+struct StreamEventReceived {};
 /// The whole answer came; of a stream, its end.
-struct Whole {
+struct ResponseComplete {
   bool success = true;
 };
 /// The connection ended or its bytes were faulty after the request was sent.
-struct Broken {};
+struct ConnectionBroken {};
 /// The upstream took the request and has been silent for longer than it should.
-struct Silent {};
-struct CallerLeft {};
+struct UpstreamSilent {};
+struct CallerDisconnected {};
 /// The time limit of the request passed.
-struct TimeUp {};
+struct DeadlineExceeded {};
 
 }  // namespace RelayEvents
 
 /// \ingroup Relay
-using RelayEvent = std::variant<RelayEvents::Begin, RelayEvents::NobodyToAsk, RelayEvents::NotSent,
-                                RelayEvents::NotExecuted, RelayEvents::Piece, RelayEvents::Whole,
-                                RelayEvents::Broken, RelayEvents::Silent, RelayEvents::CallerLeft,
-                                RelayEvents::TimeUp>;
+using RelayEvent = std::variant<RelayEvents::Begin, RelayEvents::NoUpstreamAvailable,
+                                RelayEvents::NotSent, RelayEvents::NotExecuted,
+                                RelayEvents::StreamEventReceived, RelayEvents::ResponseComplete,
+                                RelayEvents::ConnectionBroken, RelayEvents::UpstreamSilent,
+                                RelayEvents::CallerDisconnected, RelayEvents::DeadlineExceeded>;
 
 }  // namespace Hallchute
 
--- a/Hallchute/src/Relay/RelayCourse.cpp
+++ b/Hallchute/src/Relay/RelayStateMachine.cpp
@@ -1,7 +1,7 @@
 // This file is part of hallchute, a serving system for language models.
 // SPDX-License-Identifier: Apache-2.0
 
-#include "Hallchute/src/Relay/RelayCourse.h"
+#include "Hallchute/src/Relay/RelayStateMachine.h"
 
 #include <utility>
 
@@ -14,76 +14,76 @@
 
 }  // namespace
 
-std::vector<RelayAction> RelayCourse::step(const RelayEvent& event) {
+std::vector<RelayAction> RelayStateMachine::step(const RelayEvent& event) {
   if (ended()) return {};
   return std::visit([&](const auto& e) { return on(e); }, event);
 }
 
-RelayCourse::Actions RelayCourse::end(Actions actions) {
+RelayStateMachine::Actions RelayStateMachine::end(Actions actions) {
   phase_ = Phase::ended;
   return actions;
 }
 
-bool RelayCourse::mayRunAgain() const {
+bool RelayStateMachine::mayRunAgain() const {
   if (runs_ >= terms_.maxRuns) return false;
   return started_ ? terms_.resumable : terms_.repeatable;
 }
 
-RelayAction RelayCourse::dispatchAgain() {
+RelayAction RelayStateMachine::dispatchAgain() {
   return RelayActions::Dispatch{arrivals_ > 0, started_};
 }
 
-RelayCourse::Actions RelayCourse::giveUp(bool timeUp) {
-  if (started_) return end({RelayActions::BreakOff{}});
-  if (spareAnswer_) return end({RelayActions::PassWhole{}});
-  if (mayHaveRun()) return end({RelayActions::Fail{timeUp}});
+RelayStateMachine::Actions RelayStateMachine::giveUp(bool deadlineExceeded) {
+  if (started_) return end({RelayActions::AbortStream{}});
+  if (spareAnswer_) return end({RelayActions::ForwardResponse{}});
+  if (mayHaveRun()) return end({RelayActions::Fail{deadlineExceeded}});
   return end({RelayActions::Refuse{}});
 }
 
-RelayCourse::Actions RelayCourse::afterRejection() {
+RelayStateMachine::Actions RelayStateMachine::afterRejection() {
   ++rejections_;
   const bool mayGoOn = !started_ || terms_.resumable;
   if (rejections_ >= kMaxRejections || !mayGoOn) return giveUp(false);
   return {dispatchAgain()};
 }
 
-RelayCourse::Actions RelayCourse::afterFailedRun() {
+RelayStateMachine::Actions RelayStateMachine::afterFailedRun() {
   if (!mayRunAgain()) return giveUp(false);
   return {dispatchAgain()};
 }
 
-RelayCourse::Actions RelayCourse::on(const RelayEvents::Begin&) {
+RelayStateMachine::Actions RelayStateMachine::on(const RelayEvents::Begin&) {
   if (phase_ != Phase::waiting) return {};
   phase_ = Phase::dispatched;
   return {RelayActions::Dispatch{}};
 }
 
-RelayCourse::Actions RelayCourse::on(const RelayEvents::NobodyToAsk&) {
+RelayStateMachine::Actions RelayStateMachine::on(const RelayEvents::NoUpstreamAvailable&) {
   return giveUp(false);
 }
 
-RelayCourse::Actions RelayCourse::on(const RelayEvents::NotSent&) {
+RelayStateMachine::Actions RelayStateMachine::on(const RelayEvents::NotSent&) {
   if (phase_ != Phase::dispatched) return {};
   return afterRejection();
 }
 
-RelayCourse::Actions RelayCourse::on(const RelayEvents::NotExecuted&) {
+RelayStateMachine::Actions RelayStateMachine::on(const RelayEvents::NotExecuted&) {
   if (phase_ != Phase::dispatched) return {};
   ++arrivals_;
   return afterRejection();
 }
 
-RelayCourse::Actions RelayCourse::on(const RelayEvents::Piece&) {
+RelayStateMachine::Actions RelayStateMachine::on(const RelayEvents::StreamEventReceived&) {
   if (phase_ != Phase::dispatched) return {};
   const bool first = !std::exchange(started_, true);
-  return {RelayActions::PassPiece{first}};
+  return {RelayActions::ForwardEvent{first}};
 }
 
-RelayCourse::Actions RelayCourse::on(const RelayEvents::Whole& event) {
+RelayStateMachine::Actions RelayStateMachine::on(const RelayEvents::ResponseComplete& event) {
   if (phase_ != Phase::dispatched) return {};
   if (event.success) {
-    if (started_) return end({RelayActions::PassEnd{}});
-    return end({RelayActions::PassWhole{}});
+    if (started_) return end({RelayActions::EndStream{}});
+    return end({RelayActions::ForwardResponse{}});
   }
   ++arrivals_;
   ++runs_;
@@ -91,14 +91,14 @@
   return afterFailedRun();
 }
 
-RelayCourse::Actions RelayCourse::on(const RelayEvents::Broken&) {
+RelayStateMachine::Actions RelayStateMachine::on(const RelayEvents::ConnectionBroken&) {
   if (phase_ != Phase::dispatched) return {};
   ++arrivals_;
   ++runs_;
   return afterFailedRun();
 }
 
-RelayCourse::Actions RelayCourse::on(const RelayEvents::Silent&) {
+RelayStateMachine::Actions RelayStateMachine::on(const RelayEvents::UpstreamSilent&) {
   if (phase_ != Phase::dispatched) return {};
   if (runs_ + 1 >= terms_.maxRuns) return {};
   if (!(started_ ? terms_.resumable : terms_.repeatable)) return {};
@@ -107,12 +107,12 @@
   return {RelayActions::Cancel{}, dispatchAgain()};
 }
 
-RelayCourse::Actions RelayCourse::on(const RelayEvents::CallerLeft&) {
+RelayStateMachine::Actions RelayStateMachine::on(const RelayEvents::CallerDisconnected&) {
   const bool dispatched = phase_ == Phase::dispatched;
   return dispatched ? end({RelayActions::Cancel{}}) : end({});
 }
 
-RelayCourse::Actions RelayCourse::on(const RelayEvents::TimeUp&) {
+RelayStateMachine::Actions RelayStateMachine::on(const RelayEvents::DeadlineExceeded&) {
   if (phase_ != Phase::dispatched) return giveUp(true);
   // What was sent may be at work.
   ++runs_;
--- a/Hallchute/src/Relay/RelayCourse.h
+++ b/Hallchute/src/Relay/RelayStateMachine.h
@@ -1,8 +1,8 @@
 // This file is part of hallchute, a serving system for language models.
 // SPDX-License-Identifier: Apache-2.0
 
-#ifndef HALLCHUTE_RELAY_RELAYCOURSE_H
-#define HALLCHUTE_RELAY_RELAYCOURSE_H
+#ifndef HALLCHUTE_RELAY_RELAYSTATEMACHINE_H
+#define HALLCHUTE_RELAY_RELAYSTATEMACHINE_H
 
 #include <vector>
 
@@ -12,7 +12,7 @@
 namespace Hallchute {
 
 /// \brief What a route allows for a request. \ingroup Relay
-struct RelayTerms {
+struct RelayPolicy {
   /// It may run more than once.
   bool repeatable = false;
   /// A broken stream may go on at another upstream.
@@ -27,9 +27,9 @@
 /// Keeps, whatever the order of events: what may not repeat is sent again only if no earlier
 /// dispatch can have run; a refusal is a promise that nothing ran; a stream holds the pieces of
 /// one run, or of runs that continue each other; exactly one final answer.
-class RelayCourse {
+class RelayStateMachine {
  public:
-  explicit RelayCourse(RelayTerms terms) : terms_(terms) {}
+  explicit RelayStateMachine(RelayPolicy terms) : terms_(terms) {}
 
   /// \brief Takes an event. After the end of the course there are no actions.
   std::vector<RelayAction> step(const RelayEvent& event);
@@ -44,23 +44,23 @@
   using Actions = std::vector<RelayAction>;
 
   Actions on(const RelayEvents::Begin& event);
-  Actions on(const RelayEvents::NobodyToAsk& event);
+  Actions on(const RelayEvents::NoUpstreamAvailable& event);
   Actions on(const RelayEvents::NotSent& event);
   Actions on(const RelayEvents::NotExecuted& event);
-  Actions on(const RelayEvents::Piece& event);
-  Actions on(const RelayEvents::Whole& event);
-  Actions on(const RelayEvents::Broken& event);
-  Actions on(const RelayEvents::Silent& event);
-  Actions on(const RelayEvents::CallerLeft& event);
-  Actions on(const RelayEvents::TimeUp& event);
+  Actions on(const RelayEvents::StreamEventReceived& event);
+  Actions on(const RelayEvents::ResponseComplete& event);
+  Actions on(const RelayEvents::ConnectionBroken& event);
+  Actions on(const RelayEvents::UpstreamSilent& event);
+  Actions on(const RelayEvents::CallerDisconnected& event);
+  Actions on(const RelayEvents::DeadlineExceeded& event);
   bool mayRunAgain() const;
   RelayAction dispatchAgain();
   Actions afterRejection();
   Actions afterFailedRun();
-  Actions giveUp(bool timeUp);
+  Actions giveUp(bool deadlineExceeded);
   Actions end(Actions actions);
 
-  RelayTerms terms_;
+  RelayPolicy terms_;
   Phase phase_ = Phase::waiting;
   bool started_ = false;
   /// A whole answer that says failure came; it is passed if no better one comes.
@@ -75,4 +75,4 @@
 
 }  // namespace Hallchute
 
-#endif  // HALLCHUTE_RELAY_RELAYCOURSE_H
+#endif  // HALLCHUTE_RELAY_RELAYSTATEMACHINE_H
--- a/Hallchute/src/Routing/Candidate.h
+++ b/Hallchute/src/Routing/Candidate.h
@@ -33,7 +33,7 @@
 
 /// \brief What a policy knows of the request.
 /// \ingroup Routing
-struct ChoiceRequest {
+struct RoutingRequest {
   std::uint64_t affinity = 0;
   std::size_t promptTokens = 0;
   /// Mean of inFlight over all usable upstreams of the shard, full ones included.
--- a/Hallchute/src/Routing/PrefixIndex.cpp
+++ b/Hallchute/src/Routing/PrefixIndex.cpp
@@ -16,7 +16,7 @@
   return held * PrefixBlocks::kTokensPerBlock;
 }
 
-void PrefixIndex::use(std::span<const std::uint64_t> hashes, std::uint64_t stamp) {
+void PrefixIndex::recordUse(std::span<const std::uint64_t> hashes, std::uint64_t stamp) {
   for (auto hash = hashes.rbegin(); hash != hashes.rend(); ++hash) {
     const auto place = places_.find(*hash);
     if (place != places_.end()) {
@@ -31,17 +31,17 @@
   shrink();
 }
 
-std::optional<std::uint64_t> PrefixIndex::oldestStamp() const {
+std::optional<std::uint64_t> PrefixIndex::nextEvictionStamp() const {
   if (places_.size() < maxBlocks_ || recent_.empty()) return std::nullopt;
   return recent_.back().stamp;
 }
 
-std::uint64_t PrefixIndex::usesOf(std::uint64_t hash) const {
+std::uint64_t PrefixIndex::useCount(std::uint64_t hash) const {
   const auto place = places_.find(hash);
   return place == places_.end() ? 0 : place->second->uses;
 }
 
-void PrefixIndex::drop(std::uint64_t hash) {
+void PrefixIndex::evict(std::uint64_t hash) {
   const auto place = places_.find(hash);
   if (place == places_.end()) return;
   recent_.erase(place->second);
--- a/Hallchute/src/Routing/PrefixIndex.h
+++ b/Hallchute/src/Routing/PrefixIndex.h
@@ -27,15 +27,15 @@
   std::size_t cachedTokens(std::span<const std::uint64_t> hashes) const;
   /// \brief Notes that a prompt was sent; its tail goes out before its head.
   /// \param stamp a clock of the owner's that rises with each prompt it sends anywhere.
-  void use(std::span<const std::uint64_t> hashes, std::uint64_t stamp = 0);
+  void recordUse(std::span<const std::uint64_t> hashes, std::uint64_t stamp = 0);
   /// \brief Stamp of the block that would go out next; nothing while there is room.
-  std::optional<std::uint64_t> oldestStamp() const;
+  std::optional<std::uint64_t> nextEvictionStamp() const;
   /// \brief How many prompts have used the block since it came here; 0 if it is not held.
-  std::uint64_t usesOf(std::uint64_t hash) const;
+  std::uint64_t useCount(std::uint64_t hash) const;
   /// \brief Takes a cache event into account: the upstream dropped this block.
-  void drop(std::uint64_t hash);
+  void evict(std::uint64_t hash);
   void setCapacity(std::size_t capacityTokens);
-  std::size_t blocks() const { return places_.size(); }
+  std::size_t blockCount() const { return places_.size(); }
 
  private:
   void shrink();
--- a/Hallchute/src/Routing/ChoicePolicy.h
+++ b/Hallchute/src/Routing/RoutingPolicy.h
@@ -1,8 +1,8 @@
 // This file is part of hallchute, a serving system for language models.
 // SPDX-License-Identifier: Apache-2.0
 
-#ifndef HALLCHUTE_ROUTING_CHOICEPOLICY_H
-#define HALLCHUTE_ROUTING_CHOICEPOLICY_H
+#ifndef HALLCHUTE_ROUTING_ROUTINGPOLICY_H
+#define HALLCHUTE_ROUTING_ROUTINGPOLICY_H
 
 #include <cstddef>
 #include <variant>
@@ -39,8 +39,8 @@
 
 /// \brief The ways of choosing an upstream; see docs/DESIGN.md for what was measured.
 /// \ingroup Routing
-using ChoicePolicy = std::variant<PrefixAffinity, RoundRobin, LeastInFlight, SessionHash>;
+using RoutingPolicy = std::variant<PrefixAffinity, RoundRobin, LeastInFlight, SessionHash>;
 
 }  // namespace Hallchute
 
-#endif  // HALLCHUTE_ROUTING_CHOICEPOLICY_H
+#endif  // HALLCHUTE_ROUTING_ROUTINGPOLICY_H
--- a/Hallchute/src/Routing/UpstreamChooser.cpp
+++ b/Hallchute/src/Routing/UpstreamChooser.cpp
@@ -20,7 +20,7 @@
 }
 
 struct Chooser {
-  const ChoiceRequest& request;
+  const RoutingRequest& request;
   std::span<const Candidate> candidates;
 
   std::size_t operator()(RoundRobin& policy) const {
@@ -87,7 +87,7 @@
 
 }  // namespace
 
-std::optional<std::size_t> chooseUpstream(ChoicePolicy& policy, const ChoiceRequest& request,
+std::optional<std::size_t> chooseUpstream(RoutingPolicy& policy, const RoutingRequest& request,
                                           std::span<const Candidate> candidates) {
   if (candidates.empty()) return std::nullopt;
   return std::visit(Chooser{request, candidates}, policy);
--- a/Hallchute/src/Routing/UpstreamChooser.h
+++ b/Hallchute/src/Routing/UpstreamChooser.h
@@ -8,7 +8,7 @@
 #include <span>
 
 #include "Hallchute/src/Routing/Candidate.h"
-#include "Hallchute/src/Routing/ChoicePolicy.h"
+#include "Hallchute/src/Routing/RoutingPolicy.h"
 
 namespace Hallchute {
 
@@ -16,7 +16,7 @@
 /// \ingroup Routing
 /// \param policy keeps state between calls (RoundRobin).
 /// \param candidates upstreams with room, in slot order. Cost: one pass.
-std::optional<std::size_t> chooseUpstream(ChoicePolicy& policy, const ChoiceRequest& request,
+std::optional<std::size_t> chooseUpstream(RoutingPolicy& policy, const RoutingRequest& request,
                                           std::span<const Candidate> candidates);
 
 }  // namespace Hallchute
--- a/Hallchute/src/Traffic/TrafficEngine.cpp
+++ b/Hallchute/src/Traffic/TrafficEngine.cpp
@@ -32,7 +32,7 @@
 
 double quotaAmount(const GatewayOrganisation& organisation, const ClientRequest& request) {
   if (!organisation.countsTokens) return 1;
-  if (!request.promptTokens) return static_cast<double>(organisation.plainTokens);
+  if (!request.promptTokens) return static_cast<double>(organisation.defaultTokens);
   return static_cast<double>(*request.promptTokens + request.maxOutputTokens);
 }
 
@@ -72,11 +72,11 @@
   const Instant now = clockNow();
   for (const UpstreamId& gone : upstreams_.replace(records, now)) {
     const UpstreamEntry* entry = upstreams_.find(gone);
-    const bool restarted = entry != nullptr && !entry->goneSince;
+    const bool restarted = entry != nullptr && !entry->unlistedSince;
     LogLine(LogLevel::info, restarted ? "upstream.restarted" : "upstream.gone")
         .with("upstream", gone.str())
         .with("incarnation", entry == nullptr ? 0 : entry->record.incarnation);
-    pool_.forget(gone);
+    pool_.closeIdle(gone);
   }
 }
 
@@ -84,10 +84,10 @@
   upstreams_.noteDraining(upstream.id, upstream.incarnation);
 }
 
-void TrafficEngine::setFleet(const FleetTold& told) {
+void TrafficEngine::setFleet(const FleetTrafficView& told) {
   daemons_ = std::max<std::size_t>(1, told.known);
   clockOffset_ = told.clockOffset;
-  upstreams_.setLoadsElsewhere(told.loads);
+  upstreams_.setPeerLoads(told.loads);
   quota_.setFleet(told.quota, clockNow());
 }
 
@@ -117,14 +117,14 @@
       .with("asked", static_cast<std::uint64_t>(admission.quotaTaken))
       .with("needed", static_cast<std::uint64_t>(shortage.needed))
       .with("level", static_cast<std::int64_t>(shortage.level))
-      .with("unheard", static_cast<std::uint64_t>(shortage.unheard))
-      .with("heardPercent", static_cast<std::uint64_t>(quota_.fleet().heardPart * kPercent))
-      .with("meeting", quota_.fleet().meeting);
+      .with("unheard", static_cast<std::uint64_t>(shortage.unreported))
+      .with("heardPercent", static_cast<std::uint64_t>(quota_.fleet().liveFraction * kPercent))
+      .with("meeting", quota_.fleet().discovering);
 }
 
 bool TrafficEngine::authorise(FrontExchange& exchange, const ClientRequest& request,
                               const Route& route, const GatewayOrganisation*& organisation) {
-  const bool needsKey = !route.open && !routes_->settings().organisations.empty();
+  const bool needsKey = !route.allowsAnonymous && !routes_->settings().organisations.empty();
   if (!needsKey) return true;
   organisation = routes_->organisationOf(request.key);
   if (organisation != nullptr) return true;
@@ -167,7 +167,7 @@
         quota_.take(*organisation, admission.quotaTaken, now, draw);
     if (shortage) {
       logShortage(admission, *shortage);
-      refuse(*exchange, request, 429, "quota", shortage->comeBack);
+      refuse(*exchange, request, 429, "quota", shortage->retryDelay);
       return;
     }
   }
@@ -191,7 +191,7 @@
 }
 
 void TrafficEngine::giveBackQuota(const OrganisationName& organisation, double amount) {
-  quota_.giveBack(organisation, amount);
+  quota_.refund(organisation, amount);
 }
 
 void TrafficEngine::noteRun(const OrganisationName& organisation) {
--- a/Hallchute/src/Traffic/TrafficEngine.h
+++ b/Hallchute/src/Traffic/TrafficEngine.h
@@ -31,10 +31,10 @@
 struct SessionAdmission;
 struct ClientRequest;
 struct HttpHead;
-struct UpstreamWish;
+struct UpstreamCriteria;
 
 /// \brief What the other daemons told, as far as traffic needs it. \ingroup Traffic
-struct FleetTold {
+struct FleetTrafficView {
   /// Daemons that are likely to run, heard or not, this one included.
   std::size_t known = 1;
   UpstreamLoads loads;
@@ -58,10 +58,10 @@
   void setUpstreams(std::span<const UpstreamRecord> records);
   void noteDraining(const UpstreamIncarnation& upstream);
   /// \brief Whether newer settings may exist that this daemon can't hear of.
-  void setSettingsMayBeOld(bool old) { settingsMayBeOld_ = old; }
+  void setSettingsMayBeStale(bool old) { settingsMayBeOld_ = old; }
   /// \brief From now on new requests are refused: they could not end before the daemon does.
-  void refuseNew() { refusing_ = true; }
-  void setFleet(const FleetTold& told);
+  void refuseNewRequests() { refusing_ = true; }
+  void setFleet(const FleetTrafficView& told);
   void noteSpentElsewhere(const OrganisationName& organisation, double amount);
   /// \brief Whether requests can be served.
   bool ready() const { return routes_ != nullptr && !upstreams_.entries().empty(); }
--- a/Hallchute/src/Traffic/TrafficSession.cpp
+++ b/Hallchute/src/Traffic/TrafficSession.cpp
@@ -93,12 +93,12 @@
 
 void TrafficSession::begin() {
   exchange_->onCallerLeft = [weak = weak_from_this()] {
-    if (const auto session = weak.lock()) session->take(RelayEvents::CallerLeft{});
+    if (const auto session = weak.lock()) session->take(RelayEvents::CallerDisconnected{});
   };
   const Millis left = remaining();
   deadlineTimer_ = engine_.loop().after(left, [this] {
     deadlineTimer_ = 0;
-    take(RelayEvents::TimeUp{});
+    take(RelayEvents::DeadlineExceeded{});
   });
   take(RelayEvents::Begin{});
 }
@@ -118,7 +118,7 @@
   for (const RelayAction& action : course_.step(event)) {
     std::visit([this](const auto& a) { perform(a); }, action);
   }
-  if (!ended && course_.ended() && std::holds_alternative<RelayEvents::CallerLeft>(event)) {
+  if (!ended && course_.ended() && std::holds_alternative<RelayEvents::CallerDisconnected>(event)) {
     finish("callerLeft", 0);
   }
 }
@@ -127,14 +127,14 @@
   const Instant now = clockNow();
   const UpstreamEntry* upstream = pickUpstream(engine_.table(), wish_, now);
   if (upstream == nullptr || remaining() <= Millis(0)) {
-    take(RelayEvents::NobodyToAsk{});
+    take(RelayEvents::NoUpstreamAvailable{});
     return;
   }
-  if (action.repeat && !engine_.takeRepeat(service_, now)) {
+  if (action.retry && !engine_.takeRepeat(service_, now)) {
     LogLine(LogLevel::info, "request.retryDenied")
         .with("request", wish_.requestId)
         .with("service", service_.str());
-    take(RelayEvents::NobodyToAsk{});
+    take(RelayEvents::NoUpstreamAvailable{});
     return;
   }
   if (!sendTo(*upstream, action.resume)) take(RelayEvents::NotSent{});
@@ -150,7 +150,8 @@
   const Instant now = clockNow();
   const UpstreamId id = upstream.record.id;
   wish_.tried.insert(id);
-  const ChannelCare care = admission_.route->mayRepeat() ? ChannelCare::any : ChannelCare::sure;
+  const ConnectionReuse care =
+      admission_.route->mayRepeat() ? ConnectionReuse::any : ConnectionReuse::safe;
   channel_ = engine_.pool().take(id, upstream.record.address, care,
                                  engine_.connectionShare(service_), now);
   if (channel_ == nullptr) return false;
@@ -187,16 +188,16 @@
   using Real = std::chrono::duration<double, std::milli>;
   const Route& route = *admission_.route;
   const Real first = Real(route.latencyObjective) * kSilentObjectives;
-  const Real pause = std::max(Real(kLeastPause), Real(route.pauseObjective) * kSilentPauses);
+  const Real pause = std::max(Real(kLeastPause), Real(route.gapObjective) * kSilentPauses);
   const Real objective = course_.started() ? pause : first;
   const Real part = Real(remaining()) * kSilentPart;
   const auto patience = std::chrono::duration_cast<Millis>(std::min(objective, part));
   silenceTimer_ = engine_.loop().after(patience, [this] {
     silenceTimer_ = 0;
     // One place only may be left; the course decides whether going elsewhere is allowed.
-    UpstreamWish elsewhere = wish_;
+    UpstreamCriteria elsewhere = wish_;
     if (pickUpstream(engine_.table(), elsewhere, clockNow()) == nullptr) return;
-    take(RelayEvents::Silent{});
+    take(RelayEvents::UpstreamSilent{});
   });
 }
 
@@ -234,7 +235,7 @@
     noteRunBegan();
     if (alreadyPassed(*event)) continue;
     piece_ = std::move(*event);
-    take(RelayEvents::Piece{});
+    take(RelayEvents::StreamEventReceived{});
     if (!course_.ended()) startSilenceTimer();
   }
 }
@@ -263,23 +264,23 @@
         .with("request", wish_.requestId)
         .with("upstream", upstream_.str())
         .with("status", answerHead_.status);
-    if (answer_.otherUpstream) engine_.table().noteReplaced(upstream_, clockNow());
+    if (answer_.otherUpstream) engine_.table().noteAddressReused(upstream_, clockNow());
     endDispatch(DispatchResult::rejected, !answer_.otherUpstream);
     take(RelayEvents::NotExecuted{});
     return;
   }
   if (answerIsStream_) {
     // An answer that only the connection's end completes may have been cut within an event.
-    const bool whole = !answerHead_.endsWithConnection || splitter_.rest().empty();
+    const bool whole = !answerHead_.endsWithConnection || splitter_.incompleteEvent().empty();
     if (!whole) {
       upstreamFailed(true);
       return;
     }
     endDispatch(DispatchResult::answered, true);
     answerWhole_ = true;
-    piece_ = {splitter_.rest(), ""};
-    if (!piece_.bytes.empty()) take(RelayEvents::Piece{});
-    take(RelayEvents::Whole{});
+    piece_ = {splitter_.incompleteEvent(), ""};
+    if (!piece_.bytes.empty()) take(RelayEvents::StreamEventReceived{});
+    take(RelayEvents::ResponseComplete{});
     return;
   }
   noteRunBegan();
@@ -295,7 +296,7 @@
     spareHead_ = answerHead_;
     spareBody_ = answerBody_;
   }
-  take(RelayEvents::Whole{!failed});
+  take(RelayEvents::ResponseComplete{!failed});
 }
 
 void TrafficSession::upstreamFailed(bool sent) {
@@ -307,7 +308,7 @@
       .with("afterMs", std::chrono::duration_cast<Millis>(clockNow() - dispatchedAt_));
   endDispatch(sent ? DispatchResult::broken : DispatchResult::unreachable, false);
   if (sent) {
-    take(RelayEvents::Broken{});
+    take(RelayEvents::ConnectionBroken{});
   } else {
     take(RelayEvents::NotSent{});
   }
@@ -323,7 +324,7 @@
   engine_.metrics().time("hallchute_dispatch_ms", "service=\"" + service_.str() + "\"",
                          now - dispatchedAt_);
   if (keepChannel) {
-    engine_.pool().giveBack(upstream_, std::move(channel_), now);
+    engine_.pool().release(upstream_, std::move(channel_), now);
   } else {
     engine_.pool().discard(upstream_, std::move(channel_));
   }
@@ -363,18 +364,18 @@
   return fields;
 }
 
-void TrafficSession::perform(const RelayActions::PassPiece& action) {
+void TrafficSession::perform(const RelayActions::ForwardEvent& action) {
   if (action.first) exchange_->startPieces(answerHead_.status, passedFields(answerHead_));
   if (!piece_.id.empty()) lastEventId_ = piece_.id;
   exchange_->sendPiece(piece_.bytes);
 }
 
-void TrafficSession::perform(const RelayActions::PassEnd&) {
+void TrafficSession::perform(const RelayActions::EndStream&) {
   exchange_->endPieces();
   finish("answered", answerHead_.status);
 }
 
-void TrafficSession::perform(const RelayActions::PassWhole&) {
+void TrafficSession::perform(const RelayActions::ForwardResponse&) {
   const HttpHead& head = answerWhole_ ? answerHead_ : spareHead_;
   exchange_->answer(head.status, passedFields(head), answerWhole_ ? answerBody_ : spareBody_);
   finish("answered", head.status);
@@ -391,12 +392,12 @@
 }
 
 void TrafficSession::perform(const RelayActions::Fail& action) {
-  const int status = action.timeUp ? kGatewayTimeout : kBadGateway;
+  const int status = action.deadlineExceeded ? kGatewayTimeout : kBadGateway;
   exchange_->answer(status, {}, "");
-  finish(action.timeUp ? "timeUp" : "mayHaveRun", status);
+  finish(action.deadlineExceeded ? "timeUp" : "mayHaveRun", status);
 }
 
-void TrafficSession::perform(const RelayActions::BreakOff&) {
+void TrafficSession::perform(const RelayActions::AbortStream&) {
   exchange_->breakOff();
   finish("brokenOff", answerHead_.status);
 }
--- a/Hallchute/src/Traffic/TrafficSession.h
+++ b/Hallchute/src/Traffic/TrafficSession.h
@@ -14,7 +14,7 @@
 #include "Hallchute/src/Gateway/UpstreamPick.h"
 #include "Hallchute/src/Ports/TrafficCodec.h"
 #include "Hallchute/src/Relay/EventSplitter.h"
-#include "Hallchute/src/Relay/RelayCourse.h"
+#include "Hallchute/src/Relay/RelayStateMachine.h"
 #include "Hallchute/src/Upstream/UpstreamChannel.h"
 
 namespace Hallchute {
@@ -54,12 +54,12 @@
   void take(const RelayEvent& event);
   void perform(const RelayActions::Dispatch& action);
   void perform(const RelayActions::Cancel& action);
-  void perform(const RelayActions::PassPiece& action);
-  void perform(const RelayActions::PassEnd& action);
-  void perform(const RelayActions::PassWhole& action);
+  void perform(const RelayActions::ForwardEvent& action);
+  void perform(const RelayActions::EndStream& action);
+  void perform(const RelayActions::ForwardResponse& action);
   void perform(const RelayActions::Refuse& action);
   void perform(const RelayActions::Fail& action);
-  void perform(const RelayActions::BreakOff& action);
+  void perform(const RelayActions::AbortStream& action);
 
   std::string cacheSourceFor(const UpstreamEntry& chosen) const;
   bool sendTo(const UpstreamEntry& upstream, bool resume);
@@ -80,8 +80,8 @@
   std::shared_ptr<FrontExchange> exchange_;
   SessionAdmission admission_;
   ServiceName service_;
-  UpstreamWish wish_;
-  RelayCourse course_;
+  UpstreamCriteria wish_;
+  RelayStateMachine course_;
   Instant deadline_;
 
   std::unique_ptr<UpstreamChannel> channel_;
--- a/bench/policy/EngineFake.cpp
+++ b/bench/policy/EngineFake.cpp
@@ -25,7 +25,7 @@
       std::max(sequence.importedTokens, cache_.cachedTokens(sequence.hashes));
   const std::uint64_t id = sequence.id;
   const std::size_t toCompute = std::max<std::size_t>(1, context - std::min(context, cached));
-  cache_.use(sequence.hashes);
+  cache_.recordUse(sequence.hashes);
   sequences_[id] = {std::move(sequence), toCompute};
   prefilling_.push_back(id);
   pinMemory();
@@ -59,7 +59,7 @@
                  parameters_.sequenceMs * static_cast<double>(decoding) +
                  parameters_.prefillMs * static_cast<double>(prefilled);
   for (const std::uint64_t id : done) {
-    cache_.use(sequences_.at(id).sequence.hashes);
+    cache_.recordUse(sequences_.at(id).sequence.hashes);
     sequences_.erase(id);
     result.finished.push_back(id);
   }
--- a/bench/policy/main.cpp
+++ b/bench/policy/main.cpp
@@ -25,14 +25,14 @@
 namespace {
 
 using namespace Bench;
-using Hallchute::ChoicePolicy;
+using Hallchute::RoutingPolicy;
 
 struct NamedPolicy {
   const char* name;
-  ChoicePolicy policy;
+  RoutingPolicy policy;
 };
 
-ChoicePolicy ours() {
+RoutingPolicy ours() {
   return Hallchute::PrefixAffinity{absl::GetFlag(FLAGS_load_bound),
                                    absl::GetFlag(FLAGS_request_tokens),
                                    absl::GetFlag(FLAGS_eviction)};
@@ -79,7 +79,7 @@
   Poco::JSON::Array::Ptr rows_ = new Poco::JSON::Array;
 };
 
-TrialSpec base(const Workload& workload, const ChoicePolicy& policy) {
+TrialSpec base(const Workload& workload, const RoutingPolicy& policy) {
   TrialSpec spec;
   spec.workload = &workload;
   spec.seed = absl::GetFlag(FLAGS_seed);
--- a/standin/EngineStandin.cpp
+++ b/standin/EngineStandin.cpp
@@ -169,13 +169,13 @@
     const std::lock_guard lock(mutex_);
     const auto imported = imported_.find(generation.handle);
     if (imported != imported_.end()) {
-      cache_.use(imported->second);
+      cache_.recordUse(imported->second);
       imported_.erase(imported);
       computed = 0;
     } else {
       computed = blocks.tokens - std::min(blocks.tokens, cache_.cachedTokens(blocks.hashes));
     }
-    cache_.use(blocks.hashes);
+    cache_.recordUse(blocks.hashes);
     computedTokens_ += computed;
   }
   std::this_thread::sleep_for(
--- a/test/FleetQuotaTest.cpp
+++ b/test/FleetQuotaTest.cpp
@@ -142,7 +142,7 @@
     if (!wait) {
       admitted_.emplace_back(ms, kAmount);
     } else if (first) {
-      returning_.emplace(ms + static_cast<int>(wait->comeBack.count()), 0);
+      returning_.emplace(ms + static_cast<int>(wait->retryDelay.count()), 0);
     }
   }
   void report(int i, int ms) {
@@ -159,7 +159,7 @@
   void deliver(const Sent& sent, int ms) {
     Host& host = *hosts_[sent.to];
     const FleetUpdate news = host.view.receive(sent.report, at(ms));
-    for (const auto& [name, amount] : news.spentMore) {
+    for (const auto& [name, amount] : news.newlySpent) {
       host.ledger.noteSpentElsewhere(name, amount, at(ms));
     }
   }
@@ -187,7 +187,7 @@
   CPPUNIT_TEST_SUITE_END();
 
   /// Rate over the window, burst, a tenth, and the fixed tolerance of 72,000 tokens.
-  const double allowed_ = 9 * (1 + kTolerance.part) + kTolerance.slack / kRate;
+  const double allowed_ = 9 * (1 + kTolerance.fraction) + kTolerance.slack / kRate;
 
   /// All daemons end twice within a window while callers ask for two and a half times the quota.
   static void restartTwice(SpendingFleet& fleet, void (SpendingFleet::*startAll)(int ms)) {
--- a/test/GatewayRig.cpp
+++ b/test/GatewayRig.cpp
@@ -89,7 +89,7 @@
   route.timeLimit = Millis(3'000);
   route.latencyObjective = Millis(1'000);
   route.maxRuns = 2;
-  route.open = true;
+  route.allowsAnonymous = true;
   return route;
 }
 
--- a/test/GatewayTest.cpp
+++ b/test/GatewayTest.cpp
@@ -133,7 +133,7 @@
       for (const std::string& id : row.shunned) fail(table, id, 2, at(0));
       std::erase_if(records, [&](const UpstreamRecord& r) { return has(row.gone, r.id.str()); });
       table.replace(records, at(0));
-      UpstreamWish wish = wishFor("");
+      UpstreamCriteria wish = wishFor("");
       for (const std::string& id : row.tried) wish.tried.insert(UpstreamId(id));
       const UpstreamEntry* picked = pickUpstream(table, wish, at(10));
       CPPUNIT_ASSERT_EQUAL_MESSAGE(row.name, row.expected,
@@ -182,7 +182,7 @@
       const Row& row = rows[i];
       UpstreamTable table;
       table.replace(std::vector{record("a", "d1"), record("b", "d1"), record("c", "d2")}, at(0));
-      UpstreamWish wish = wishFor("subject");
+      UpstreamCriteria wish = wishFor("subject");
       wish.sharedTokens = row.sharedTokens;
       const UpstreamEntry* home = pickUpstream(table, wish, at(0));
       UpstreamLoads heard;
@@ -193,7 +193,7 @@
         table.noteDispatched(id, unread);
         heard[id] = {1, unread};
       }
-      table.setLoadsElsewhere(heard);
+      table.setPeerLoads(heard);
       const bool stays = pickUpstream(table, wish, at(0)) == home;
       CPPUNIT_ASSERT_EQUAL_MESSAGE("row " + std::to_string(i), row.staysHome, stays);
     }
@@ -205,13 +205,13 @@
     const UpstreamId id("a");
     table.noteDispatched(id, 900);
     table.noteDispatched(id, 100);
-    CPPUNIT_ASSERT_EQUAL(std::uint64_t{1'000}, table.ownLoads().at(id).unreadTokens);
+    CPPUNIT_ASSERT_EQUAL(std::uint64_t{1'000}, table.ownLoads().at(id).pendingPrefillTokens);
     table.notePromptDone(id, 900);
-    CPPUNIT_ASSERT_EQUAL(std::uint64_t{100}, table.ownLoads().at(id).unreadTokens);
+    CPPUNIT_ASSERT_EQUAL(std::uint64_t{100}, table.ownLoads().at(id).pendingPrefillTokens);
     CPPUNIT_ASSERT_EQUAL(2U, table.ownLoads().at(id).requests);
     table.notePromptDone(id, 900);
     table.noteEnded(id, DispatchResult::answered, at(0));
-    CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, table.ownLoads().at(id).unreadTokens);
+    CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, table.ownLoads().at(id).pendingPrefillTokens);
   }
 
   void theHomeBeforeGivesItsCache() {
@@ -220,7 +220,7 @@
     records.reserve(7);
     for (int i = 0; i < 6; ++i) records.push_back(record("u" + std::to_string(i), "d1"));
     table.replace(records, at(0));
-    const UpstreamWish wish = wishFor("subject");
+    const UpstreamCriteria wish = wishFor("subject");
     const UpstreamEntry* home = pickUpstream(table, wish, at(0));
     CPPUNIT_ASSERT(cacheSource(table, wish, *home, at(0)) == nullptr);
     // It leaves: whoever comes after it copies from it, until it is gone.
@@ -259,7 +259,7 @@
     table.replace(std::vector{record("a", "d1")}, at(2'000));
     CPPUNIT_ASSERT(pickUpstream(table, wishFor(""), at(2'000)) != nullptr);
     // One whose address another has taken over is not even that.
-    table.noteReplaced(UpstreamId("a"), at(2'000));
+    table.noteAddressReused(UpstreamId("a"), at(2'000));
     CPPUNIT_ASSERT(pickUpstream(table, wishFor(""), at(2'000)) == nullptr);
   }
 
@@ -330,8 +330,8 @@
     made.domain = DomainName(domain);
     return made;
   }
-  static UpstreamWish wishFor(const std::string& affinity) {
-    UpstreamWish wish;
+  static UpstreamCriteria wishFor(const std::string& affinity) {
+    UpstreamCriteria wish;
     wish.service = ServiceName("s");
     wish.affinity = affinity;
     wish.ownDomain = DomainName("d1");
--- a/test/PlacementTest.cpp
+++ b/test/PlacementTest.cpp
@@ -71,9 +71,9 @@
       UpstreamLoads others = sum;
       for (const auto& [id, load] : heard[i]) {
         others[id].requests -= load.requests;
-        others[id].unreadTokens -= load.unreadTokens;
+        others[id].pendingPrefillTokens -= load.pendingPrefillTokens;
       }
-      tables_[i]->setLoadsElsewhere(others);
+      tables_[i]->setPeerLoads(others);
     }
   }
 
@@ -138,7 +138,7 @@
 
   void place(int now, double workMs) {
     ++outcome_.asked;
-    UpstreamWish wish;
+    UpstreamCriteria wish;
     wish.service = ServiceName("s");
     wish.requestId = "r" + std::to_string(outcome_.asked);
     const std::size_t daemon = draws_.below(daemons_.size());
@@ -254,7 +254,7 @@
     // Few subjects get most of the requests.
     const double drawn = draws_.next();
     const auto subject = static_cast<std::size_t>(drawn * drawn * kSubjects);
-    UpstreamWish wish;
+    UpstreamCriteria wish;
     wish.service = ServiceName("s");
     wish.requestId = "r" + std::to_string(outcome_.asked);
     wish.affinity = "subject" + std::to_string(subject);
--- a/test/QuotaLedgerTest.cpp
+++ b/test/QuotaLedgerTest.cpp
@@ -45,10 +45,10 @@
     CPPUNIT_ASSERT(!ledger.take(org, 150, at(0)));
     const auto wait = ledger.take(org, 100, at(0));
     CPPUNIT_ASSERT(wait.has_value());
-    CPPUNIT_ASSERT_EQUAL(Millis::rep{500}, wait->comeBack.count());
+    CPPUNIT_ASSERT_EQUAL(Millis::rep{500}, wait->retryDelay.count());
     CPPUNIT_ASSERT(!ledger.take(org, 100, at(510)));
     CPPUNIT_ASSERT_EQUAL(250.0, ledger.spent().at(org.name));
-    ledger.giveBack(org.name, 100);
+    ledger.refund(org.name, 100);
     CPPUNIT_ASSERT(!ledger.take(org, 100, at(510)));
     // No limit, and a request larger than any bucket.
     CPPUNIT_ASSERT(!ledger.take(organisation(0, 0), 1e9, at(0)));
@@ -64,7 +64,7 @@
     CPPUNIT_ASSERT(!ledger.take(org, 150, at(0)));
     const auto wait = ledger.take(org, 100, at(0));
     CPPUNIT_ASSERT(wait.has_value());
-    CPPUNIT_ASSERT_EQUAL(Millis::rep{500}, wait->comeBack.count());
+    CPPUNIT_ASSERT_EQUAL(Millis::rep{500}, wait->retryDelay.count());
   }
 
   void quotaCountsWhatOthersSpend() {
@@ -179,21 +179,21 @@
   void quotaOfAnUnknownFleetBringsCallersBackAfterTheMeeting() {
     QuotaLedger ledger(at(0), {0.1, 0, Millis(8'000)});
     QuotaFleet unmet;
-    unmet.heardPart = 0.01;
-    unmet.meeting = true;
-    unmet.meetingLeft = Millis(1'200);
+    unmet.liveFraction = 0.01;
+    unmet.discovering = true;
+    unmet.discoveryTimeLeft = Millis(1'200);
     ledger.setFleet(unmet, at(0));
     const GatewayOrganisation org = organisation(1'000, 2'000);
     const auto refused = ledger.take(org, 500, at(0), 0.5);
     CPPUNIT_ASSERT(refused.has_value());
     // The meeting, the time in which the whole rate then fills what is missing, and the spread.
-    CPPUNIT_ASSERT(refused->comeBack >= Millis(1'200));
-    CPPUNIT_ASSERT(refused->comeBack <= Millis((1'200 + 500) * 3 / 2));
+    CPPUNIT_ASSERT(refused->retryDelay >= Millis(1'200));
+    CPPUNIT_ASSERT(refused->retryDelay <= Millis((1'200 + 500) * 3 / 2));
     // Where the fleet's size is known the own part is what fills.
-    unmet.ownPart = 0.5;
-    unmet.heardPart = 0.5;
+    unmet.ownShare = 0.5;
+    unmet.liveFraction = 0.5;
     ledger.setFleet(unmet, at(0));
-    CPPUNIT_ASSERT(ledger.take(org, 2'000, at(0), 0)->comeBack >= Millis(2'000));
+    CPPUNIT_ASSERT(ledger.take(org, 2'000, at(0), 0)->retryDelay >= Millis(2'000));
   }
 };
 
--- a/test/RelayTest.cpp
+++ b/test/RelayTest.cpp
@@ -19,14 +19,16 @@
 
 /// Every event that can follow a dispatch, in each form.
 const std::array<RelayEvent, 10> kEvents{
-    Events::NobodyToAsk{}, Events::NotSent{},    Events::NotExecuted{}, Events::Piece{},
-    Events::Whole{true},   Events::Whole{false}, Events::Broken{},      Events::Silent{},
-    Events::CallerLeft{},  Events::TimeUp{}};
+    Events::NoUpstreamAvailable{},  Events::NotSent{},
+    Events::NotExecuted{},          Events::StreamEventReceived{},
+    Events::ResponseComplete{true}, Events::ResponseComplete{false},
+    Events::ConnectionBroken{},     Events::UpstreamSilent{},
+    Events::CallerDisconnected{},   Events::DeadlineExceeded{}};
 
 /// Checks one course against the promises while events come in any order.
 class Witness {
  public:
-  explicit Witness(RelayTerms terms) : terms_(terms), course_(terms) { take(Events::Begin{}); }
+  explicit Witness(RelayPolicy terms) : terms_(terms), course_(terms) { take(Events::Begin{}); }
 
   bool ended() const { return course_.ended(); }
 
@@ -50,21 +52,21 @@
   /// What happened outside, as the upstreams would tell it.
   void noteWorld(const RelayEvent& event) {
     if (!atWork_) {
-      if (std::holds_alternative<Events::CallerLeft>(event)) callerLeft_ = true;
+      if (std::holds_alternative<Events::CallerDisconnected>(event)) callerLeft_ = true;
       return;
     }
-    std::visit(
-        Overloaded{[&](const Events::NotSent&) { endRun(false); },
-                   [&](const Events::NotExecuted&) { endRun(false); },
-                   [&](const Events::NobodyToAsk&) { endRun(false); },
-                   [&](const Events::Whole& whole) {
-                     lastWhole_ = true;
-                     lastSuccess_ = whole.success;
-                     endRun(true);
-                   },
-                   [&](const Events::Broken&) { endRun(true); },
-                   [&](const Events::CallerLeft&) { callerLeft_ = true; }, [&](const auto&) {}},
-        event);
+    std::visit(Overloaded{[&](const Events::NotSent&) { endRun(false); },
+                          [&](const Events::NotExecuted&) { endRun(false); },
+                          [&](const Events::NoUpstreamAvailable&) { endRun(false); },
+                          [&](const Events::ResponseComplete& whole) {
+                            lastWhole_ = true;
+                            lastSuccess_ = whole.success;
+                            endRun(true);
+                          },
+                          [&](const Events::ConnectionBroken&) { endRun(true); },
+                          [&](const Events::CallerDisconnected&) { callerLeft_ = true; },
+                          [&](const auto&) {}},
+               event);
   }
   void endRun(bool mayHaveRun) {
     atWork_ = false;
@@ -78,7 +80,7 @@
     if (action.resume != started_) return "resumes what has not started, or starts over";
     if (runs_ >= terms_.maxRuns) return "runs at more upstreams than allowed";
     if (finals_ > 0) return "dispatched after the answer";
-    if (runs_ > 0 && !action.repeat) return "a repeat outside the budget";
+    if (runs_ > 0 && !action.retry) return "a repeat outside the budget";
     atWork_ = true;
     return {};
   }
@@ -87,16 +89,16 @@
     endRun(true);
     return {};
   }
-  std::string check(const Actions::PassPiece& action) {
+  std::string check(const Actions::ForwardEvent& action) {
     if (action.first == started_) return "a head too many or none";
     started_ = true;
     return {};
   }
-  std::string check(const Actions::PassEnd&) {
+  std::string check(const Actions::EndStream&) {
     ++finals_;
     return started_ && lastWhole_ && lastSuccess_ ? "" : "an end that is none";
   }
-  std::string check(const Actions::PassWhole&) {
+  std::string check(const Actions::ForwardResponse&) {
     ++finals_;
     return !started_ && lastWhole_ ? "" : "passes an answer that did not come";
   }
@@ -109,13 +111,13 @@
     ++finals_;
     return started_ ? "a second head" : "";
   }
-  std::string check(const Actions::BreakOff&) {
+  std::string check(const Actions::AbortStream&) {
     ++finals_;
     return started_ ? "" : "breaks off what has not started";
   }
 
-  RelayTerms terms_;
-  RelayCourse course_;
+  RelayPolicy terms_;
+  RelayStateMachine course_;
   bool atWork_ = false;
   bool started_ = false;
   bool callerLeft_ = false;
@@ -153,7 +155,7 @@
       std::vector<std::string> parts;
       std::vector<std::string> events;
       std::vector<std::string> ids;
-      std::string rest;
+      std::string incompleteEvent;
     };
     const std::vector<Row> rows{
         {{"id: 1\ndata: a\n\n"}, {"id: 1\ndata: a\n\n"}, {"1"}, ""},
@@ -175,7 +177,7 @@
       }
       CPPUNIT_ASSERT(row.events == events);
       CPPUNIT_ASSERT(row.ids == ids);
-      CPPUNIT_ASSERT_EQUAL(row.rest, splitter.rest());
+      CPPUNIT_ASSERT_EQUAL(row.incompleteEvent, splitter.incompleteEvent());
     }
   }
 
--- a/test/RoutingTest.cpp
+++ b/test/RoutingTest.cpp
@@ -96,16 +96,16 @@
 
   void thePrefixIndexForgetsTheOldest() {
     PrefixIndex index(4 * PrefixBlocks::kTokensPerBlock);
-    index.use(std::vector<std::uint64_t>{1, 2});
-    index.use(std::vector<std::uint64_t>{3, 4});
-    index.use(std::vector<std::uint64_t>{1, 5});
+    index.recordUse(std::vector<std::uint64_t>{1, 2});
+    index.recordUse(std::vector<std::uint64_t>{3, 4});
+    index.recordUse(std::vector<std::uint64_t>{1, 5});
     // Held are 1, 5, 3, 4: block 2 was the oldest, and a tail goes before its head.
     CPPUNIT_ASSERT_EQUAL(std::size_t(32), index.cachedTokens(std::vector<std::uint64_t>{1, 2}));
     CPPUNIT_ASSERT_EQUAL(std::size_t(64), index.cachedTokens(std::vector<std::uint64_t>{3, 4}));
-    index.drop(3);
+    index.evict(3);
     CPPUNIT_ASSERT_EQUAL(std::size_t(0), index.cachedTokens(std::vector<std::uint64_t>{3, 4}));
     index.setCapacity(0);
-    CPPUNIT_ASSERT_EQUAL(std::size_t(0), index.blocks());
+    CPPUNIT_ASSERT_EQUAL(std::size_t(0), index.blockCount());
   }
 
   void policiesChooseAsTheySay() {
@@ -115,7 +115,7 @@
           {0, 10, busy, 0, 640, 0, {}}, {1, 11, 3, 0, 0, 640, {}}, {2, 12, 0, 0, 0, 640, {}}};
     };
     struct Case {
-      ChoicePolicy policy;
+      RoutingPolicy policy;
       std::size_t busy;
       std::size_t chosen;
     };
@@ -124,12 +124,12 @@
         {LeastInFlight{}, 1, 2},  {RoundRobin{1}, 1, 1},     {RoundRobin{3}, 1, 0},
     };
     for (const Case& c : cases) {
-      ChoicePolicy policy = c.policy;
+      RoutingPolicy policy = c.policy;
       const double mean = static_cast<double>(c.busy + 3) / 3;
       const auto slot = chooseUpstream(policy, {7, 640, mean}, candidates(c.busy));
       CPPUNIT_ASSERT(slot && *slot == c.chosen);
     }
-    ChoicePolicy session = SessionHash{};
+    RoutingPolicy session = SessionHash{};
     const auto once = chooseUpstream(session, {7, 0, 0}, candidates(0));
     CPPUNIT_ASSERT(once == chooseUpstream(session, {7, 0, 0}, candidates(9)));
     CPPUNIT_ASSERT(!chooseUpstream(session, {7, 0, 0}, {}));
--- a/test/TrafficContractTest.cpp
+++ b/test/TrafficContractTest.cpp
@@ -242,7 +242,7 @@
     ScriptedUpstream upstream({{whole(200, "fine"), Then::keep}});
     GatewayRig rig;
     Route route = plainRoute(WorkKind::once);
-    route.open = false;
+    route.allowsAnonymous = false;
     GatewaySettings settings = settingsWith(route);
     GatewayOrganisation organisation;
     organisation.name = OrganisationName("org");
@@ -284,14 +284,14 @@
     CPPUNIT_ASSERT_MESSAGE(answer, answer.starts_with("HTTP/1.1 503"));
     CPPUNIT_ASSERT(answer.find("Retry-After: 0.") != std::string::npos);
     Route route = plainRoute(WorkKind::once);
-    route.open = false;
+    route.allowsAnonymous = false;
     GatewaySettings settings = settingsWith(route);
     GatewayOrganisation organisation;
     organisation.name = OrganisationName("org");
     organisation.keys = {"key1"};
     // A daemon that has just started holds 500 of the rig's tolerance: one request of 400.
     organisation.countsTokens = true;
-    organisation.plainTokens = 400;
+    organisation.defaultTokens = 400;
     organisation.rate = 1;
     organisation.burst = 10'000;
     settings.organisations = {organisation};
@@ -308,10 +308,10 @@
     CPPUNIT_ASSERT_MESSAGE(answer, answer.starts_with("HTTP/1.1 429"));
     CPPUNIT_ASSERT(answer.find("Retry-After: ") != std::string::npos);
     // Settings that may be old must not deny what newer ones may allow.
-    rig.loop().call([&] { rig.engine().setSettingsMayBeOld(true); });
+    rig.loop().call([&] { rig.engine().setSettingsMayBeStale(true); });
     answer = ask(requestText("GET", "Authorization: Bearer nobody\r\n"));
     CPPUNIT_ASSERT_MESSAGE(answer, answer.starts_with("HTTP/1.1 503"));
-    rig.loop().call([&] { rig.engine().refuseNew(); });
+    rig.loop().call([&] { rig.engine().refuseNewRequests(); });
     answer = ask(requestText("GET", key));
     CPPUNIT_ASSERT_MESSAGE(answer, answer.starts_with("HTTP/1.1 503"));
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, upstream.requests().size());
@@ -413,7 +413,7 @@
  private:
   /// The route is for organisation `org` with key `key1` alone.
   static GatewaySettings settingsForOneOrganisation(Route route) {
-    route.open = false;
+    route.allowsAnonymous = false;
     GatewaySettings settings = settingsWith(route);
     GatewayOrganisation organisation;
     organisation.name = OrganisationName("org");
--- a/test/UpstreamRestartTest.cpp
+++ b/test/UpstreamRestartTest.cpp
@@ -37,7 +37,7 @@
 }
 
 const UpstreamEntry* pick(const UpstreamTable& table, int ms) {
-  UpstreamWish wish;
+  UpstreamCriteria wish;
   wish.service = ServiceName("s");
   return pickUpstream(table, wish, at(ms));
 }
@@ -71,7 +71,7 @@
          }},
         {"its entry was gone",
          [](UpstreamTable& t) { t.replace(std::vector<UpstreamRecord>{}, at(10)); }},
-        {"another was at its address", [](UpstreamTable& t) { t.noteReplaced(kId, at(10)); }},
+        {"another was at its address", [](UpstreamTable& t) { t.noteAddressReused(kId, at(10)); }},
         {"it was at work", [](UpstreamTable& t) { t.noteDispatched(kId, 5'000); }},
     };
     for (const Row& row : rows) {
@@ -81,11 +81,11 @@
       table.replace(std::vector<UpstreamRecord>{record(200)}, at(500));
       CPPUNIT_ASSERT_MESSAGE(row.story, pick(table, 500) != nullptr);
       const UpstreamEntry& entry = table.entries().at(kId);
-      CPPUNIT_ASSERT_EQUAL_MESSAGE(row.story, 0U, entry.failuresInARow);
-      CPPUNIT_ASSERT_MESSAGE(row.story, entry.shunnedUntil <= at(500));
+      CPPUNIT_ASSERT_EQUAL_MESSAGE(row.story, 0U, entry.consecutiveFailures);
+      CPPUNIT_ASSERT_MESSAGE(row.story, entry.ejectedUntil <= at(500));
       CPPUNIT_ASSERT_EQUAL_MESSAGE(row.story, 0U, entry.own.requests);
-      CPPUNIT_ASSERT_EQUAL_MESSAGE(row.story, std::uint64_t{0}, entry.own.unreadTokens);
-      CPPUNIT_ASSERT_MESSAGE(row.story, entry.knownSince == at(500));
+      CPPUNIT_ASSERT_EQUAL_MESSAGE(row.story, std::uint64_t{0}, entry.own.pendingPrefillTokens);
+      CPPUNIT_ASSERT_MESSAGE(row.story, entry.listedSince == at(500));
     }
   }
 
@@ -116,8 +116,8 @@
     CPPUNIT_ASSERT(pick(table, 520) != nullptr);
     const UpstreamEntry& entry = table.entries().at(kId);
     CPPUNIT_ASSERT_EQUAL(1U, entry.own.requests);
-    CPPUNIT_ASSERT_EQUAL(std::uint64_t{300}, entry.own.unreadTokens);
-    CPPUNIT_ASSERT_EQUAL(0U, entry.failuresInARow);
+    CPPUNIT_ASSERT_EQUAL(std::uint64_t{300}, entry.own.pendingPrefillTokens);
+    CPPUNIT_ASSERT_EQUAL(0U, entry.consecutiveFailures);
     table.noteDraining(kId, 200);
     CPPUNIT_ASSERT(pick(table, 530) == nullptr);
     // A daemon that knows it by an older list must not take the new process for the old one.
@@ -138,7 +138,7 @@
     other.id = UpstreamId("b");
     table.replace(std::vector<UpstreamRecord>{record(100), other}, at(0));
     table.replace(std::vector<UpstreamRecord>{record(200), other}, at(60'000));
-    UpstreamWish wish;
+    UpstreamCriteria wish;
     wish.service = ServiceName("s");
     wish.sharedTokens = 5'000;
     for (int i = 0; i < 50; ++i) {
