--- a/Hallchute/src/Daemon/AnswerWriter.h
+++ b/Hallchute/src/Daemon/AnswerWriter.h
@@ -31,7 +31,7 @@
   /// the caller has disconnected.
   void stream(std::size_t offset);
   /// \brief Waits until the answer is complete and writes it as one JSON document.
-  void whole();
+  void writeDocument();
 
  private:
   bool waitForStart(std::size_t offset, JobView& view);
--- a/Hallchute/src/Daemon/CallerRequest.h
+++ b/Hallchute/src/Daemon/CallerRequest.h
@@ -31,12 +31,12 @@
 /// \brief Disables Nagle's algorithm, so that small writes are not delayed until the caller has
 /// acknowledged the previous one.
 /// \ingroup Daemon
-void sendWithoutDelay(Poco::Net::HTTPServerRequest& request);
+void disableNagle(Poco::Net::HTTPServerRequest& request);
 
 /// \brief Determines the organisation from the bearer token.
 /// \ingroup Daemon
-std::variant<Caller, Refusal> authorise(const Poco::Net::HTTPServerRequest& request,
-                                        const CallerServices& services);
+std::variant<Caller, Refusal> authenticate(const Poco::Net::HTTPServerRequest& request,
+                                           const CallerServices& services);
 
 /// \brief Checks that the service exists and the caller may use it.
 /// \ingroup Daemon
@@ -45,8 +45,9 @@
 
 /// \brief The work class given in the header `Hallchute-Class`, or else the service's default.
 /// \ingroup Daemon
-std::variant<const WorkClass*, Refusal> classOf(const Poco::Net::HTTPServerRequest& request,
-                                                const Caller& caller, const ServiceName& service);
+std::variant<const WorkClass*, Refusal> selectWorkClass(const Poco::Net::HTTPServerRequest& request,
+                                                        const Caller& caller,
+                                                        const ServiceName& service);
 
 /// \brief Reads a body of at most \p maxBytes bytes.
 /// \ingroup Daemon
@@ -55,7 +56,7 @@
 
 /// \brief The refusal of a new request if this daemon accepts none because it is draining.
 /// \ingroup Daemon
-std::optional<Refusal> closedRefusal(const CallerServices& services);
+std::optional<Refusal> drainingRefusal(const CallerServices& services);
 
 }  // namespace Hallchute
 
--- a/Hallchute/src/Daemon/CallerServices.h
+++ b/Hallchute/src/Daemon/CallerServices.h
@@ -21,7 +21,7 @@
   JobStarter& starter;
   JobRecords& records;
   PeerJobs& peers;
-  OnceKeeper& keeper;
+  OnceKeeper& onceRecords;
   /// Set when the daemon begins to drain: readiness checks fail from then on, so that the load
   /// balancer routes callers to other daemons.
   std::atomic<bool> draining{false};
--- a/Hallchute/src/Daemon/CompletionHandler.cpp
+++ b/Hallchute/src/Daemon/CompletionHandler.cpp
@@ -47,7 +47,7 @@
 
 void CompletionHandler::handleRequest(Poco::Net::HTTPServerRequest& request,
                                       Poco::Net::HTTPServerResponse& response) {
-  sendWithoutDelay(request);
+  disableNagle(request);
   requestId_ = services_.context.daemon.str() + "-" + randomName();
   response.set("Hallchute-Request", requestId_);
   if (services_.draining) response.setKeepAlive(false);
@@ -60,8 +60,8 @@
 
 std::optional<Refusal> CompletionHandler::handle(Poco::Net::HTTPServerRequest& request,
                                                  Poco::Net::HTTPServerResponse& response) {
-  if (auto rejected = closedRefusal(services_)) return rejected;
-  const auto caller = authorise(request, services_);
+  if (auto rejected = drainingRefusal(services_)) return rejected;
+  const auto caller = authenticate(request, services_);
   if (const auto* refusal = std::get_if<Refusal>(&caller)) return *refusal;
   const auto completion = readCompletion(request, std::get<Caller>(caller));
   if (const auto* refusal = std::get_if<Refusal>(&completion)) return *refusal;
@@ -86,7 +86,7 @@
 std::optional<Refusal> CompletionHandler::serve(Poco::Net::HTTPServerRequest& request,
                                                 Poco::Net::HTTPServerResponse& response,
                                                 const Caller& caller, const CompletionBody& body) {
-  const auto workClass = classOf(request, caller, body.service);
+  const auto workClass = selectWorkClass(request, caller, body.service);
   if (const auto* refusal = std::get_if<Refusal>(&workClass)) return *refusal;
   GenerationWish generation;
   generation.workClass = std::get<const WorkClass*>(workClass);
@@ -129,7 +129,7 @@
   if (body.stream) {
     writer.stream(0);
   } else {
-    writer.whole();
+    writer.writeDocument();
   }
   return std::nullopt;
 }
--- a/Hallchute/src/Daemon/Control.cpp
+++ b/Hallchute/src/Daemon/Control.cpp
@@ -104,7 +104,7 @@
   loop_.post([this, announcement] { disseminateLeave(announcement); });
 }
 
-bool Control::noteLeaveAndSpread(const LeaveAnnouncement& announcement, Millis limit) {
+bool Control::noteLeaveAndAwaitAck(const LeaveAnnouncement& announcement, Millis limit) {
   noteLeave(announcement);
   const Instant until = clockNow() + limit;
   for (;;) {
@@ -163,13 +163,13 @@
   }
 }
 
-void Control::learnChange(const SettingsChange& change) {
+void Control::applyChange(const SettingsChange& change) {
   loop_.call([this, change] {
     if (changes_.add(change)) publishSettings();
   });
 }
 
-void Control::learnSnapshot(std::uint64_t revision, const JsonObject& json) {
+void Control::applySnapshot(std::uint64_t revision, const JsonObject& json) {
   loop_.call([this, revision, json] {
     if (changes_.startFrom(revision, json)) publishSettings();
   });
@@ -184,7 +184,7 @@
           "settings revision " + std::to_string(changes_.revision()) + " is now in force");
 }
 
-void Control::learnHosts(const HostList& hosts) {
+void Control::updateHosts(const HostList& hosts) {
   loop_.call([this, hosts] { applyHosts(hosts); });
 }
 
@@ -229,7 +229,7 @@
   return alive;
 }
 
-bool Control::hasDuty(std::string_view task, std::size_t rankLimit) {
+bool Control::isResponsibleFor(std::string_view task, std::size_t rankLimit) {
   bool has = false;
   loop_.call([&] {
     const MemberStatus& self = membership_.self();
--- a/Hallchute/src/Daemon/Control.h
+++ b/Hallchute/src/Daemon/Control.h
@@ -62,17 +62,17 @@
   /// \brief As noteLeave(), and waits at most \p limit until a peer has acknowledged the
   /// announcement.
   /// \returns whether a peer has acknowledged it.
-  bool noteLeaveAndSpread(const LeaveAnnouncement& announcement, Millis limit);
-  void learnChange(const SettingsChange& change);
-  void learnSnapshot(std::uint64_t revision, const JsonObject& json);
-  void learnHosts(const HostList& hosts);
+  bool noteLeaveAndAwaitAck(const LeaveAnnouncement& announcement, Millis limit);
+  void applyChange(const SettingsChange& change);
+  void applySnapshot(std::uint64_t revision, const JsonObject& json);
+  void updateHosts(const HostList& hosts);
   /// \brief Marks this daemon as leaving: it owns no shards from now on and announces its leave.
   void announceOwnLeave();
   ControlView view();
   bool mayBeAlive(const DaemonId& id);
   /// \brief Whether this daemon is among the first \p rankLimit of the rendezvous ranking of its
   /// failure domain for \p task.
-  bool hasDuty(std::string_view task, std::size_t rankLimit);
+  bool isResponsibleFor(std::string_view task, std::size_t rankLimit);
   std::uint64_t revision();
 
   /// \brief The event loop, for services that answer peers.
