--- a/Hallchute/src/Daemon/Gossip.cpp
+++ b/Hallchute/src/Daemon/Gossip.cpp
@@ -12,20 +12,21 @@
 namespace Hallchute {
 namespace {
 
-constexpr Millis kTick{50};
-/// Probe streams that were never answered are closed after this.
-constexpr Millis kProbeLimit{1'500};
-constexpr std::size_t kSpreadRemembered = 4'096;
+constexpr Millis kTickInterval{50};
+/// Unanswered probe streams are closed after this time.
+constexpr Millis kProbeTimeout{1'500};
+constexpr std::size_t kMaxAcknowledgedLeaves = 4'096;
 
 }  // namespace
 
-Gossip::Gossip(EventLoop& loop, PeerTransport& transport, Membership& membership, Sink sink)
-    : loop_(loop), transport_(transport), membership_(membership), sink_(std::move(sink)) {
+Gossip::Gossip(EventLoop& loop, PeerTransport& transport, Membership& membership,
+               ActionHandler onAction)
+    : loop_(loop), transport_(transport), membership_(membership), onAction_(std::move(onAction)) {
   transport_.serve(PeerPath::kProbe, [this](const PeerStreamPtr& stream) { serve(stream); });
 }
 
 void Gossip::start() {
-  loop_.every(kTick, [this] { perform(membership_.tick(clockNow())); });
+  loop_.every(kTickInterval, [this] { perform(membership_.tick(clockNow())); });
 }
 
 void Gossip::perform(const std::vector<MembershipAction>& actions) {
@@ -33,43 +34,43 @@
     if (const auto* probe = std::get_if<SendProbe>(&action)) {
       sendProbe(*probe);
     } else {
-      sink_(action);
+      onAction_(action);
     }
   }
 }
 
 void Gossip::sendProbe(const SendProbe& probe) {
-  const GossipMessage sent = membership_.compose(clockNow());
-  const PeerStreamPtr stream = transport_.open(probe.address, PeerPath::kProbe, pack(sent));
-  const std::weak_ptr<PeerStream> weak = stream;
-  stream->onMessage = [this, weak, leaves = sent.leaves](std::string_view bytes) {
-    if (spread_.size() > kSpreadRemembered) spread_.clear();
-    for (const LeaveAnnouncement& leave : leaves) spread_.insert(leave.upstream);
-    const PeerStreamPtr open = weak.lock();
-    if (open) open->close();
-    if (const auto batch = unpack<GossipMessage>(bytes)) {
-      perform(membership_.receive(*batch, clockNow()));
+  const GossipMessage message = membership_.compose(clockNow());
+  const PeerStreamPtr stream = transport_.open(probe.address, PeerPath::kProbe, pack(message));
+  const std::weak_ptr<PeerStream> weakStream = stream;
+  stream->onMessage = [this, weakStream, leaves = message.leaves](std::string_view bytes) {
+    if (acknowledgedLeaves_.size() > kMaxAcknowledgedLeaves) acknowledgedLeaves_.clear();
+    for (const LeaveAnnouncement& leave : leaves) acknowledgedLeaves_.insert(leave.upstream);
+    const PeerStreamPtr openStream = weakStream.lock();
+    if (openStream) openStream->close();
+    if (const auto received = unpack<GossipMessage>(bytes)) {
+      perform(membership_.receive(*received, clockNow()));
     }
   };
   stream->onClosed = [this, target = probe.target] {
     if (!target.empty()) perform(membership_.probeFailed(target, clockNow()));
   };
-  loop_.after(kProbeLimit, [stream] { stream->close(); });
+  loop_.after(kProbeTimeout, [stream] { stream->close(); });
 }
 
 void Gossip::serve(const PeerStreamPtr& stream) {
-  const std::weak_ptr<PeerStream> weak = stream;
-  stream->onMessage = [this, weak](std::string_view bytes) {
-    const PeerStreamPtr open = weak.lock();
-    if (!open) return;
-    const auto batch = unpack<GossipMessage>(bytes);
-    if (!batch) {
-      open->close();
+  const std::weak_ptr<PeerStream> weakStream = stream;
+  stream->onMessage = [this, weakStream](std::string_view bytes) {
+    const PeerStreamPtr openStream = weakStream.lock();
+    if (!openStream) return;
+    const auto received = unpack<GossipMessage>(bytes);
+    if (!received) {
+      openStream->close();
       return;
     }
-    perform(membership_.receive(*batch, clockNow()));
-    open->send(pack(membership_.compose(clockNow(), batch->known)));
-    open->finish();
+    perform(membership_.receive(*received, clockNow()));
+    openStream->send(pack(membership_.compose(clockNow(), received->known)));
+    openStream->finish();
   };
 }
 
--- a/Hallchute/src/Daemon/Gossip.h
+++ b/Hallchute/src/Daemon/Gossip.h
@@ -18,19 +18,21 @@
 class Membership;
 class PeerTransport;
 
-/// \brief Carries out what Membership decides: sends probes, answers them. Loop thread only.
+/// \brief Executes the actions of Membership: sends probes and answers them. Loop thread only.
 /// \ingroup Daemon
 class Gossip {
  public:
-  /// \brief Told the actions that are not probes.
-  using Sink = std::function<void(const MembershipAction&)>;
+  /// \brief Receives the actions other than probes.
+  using ActionHandler = std::function<void(const MembershipAction&)>;
 
-  Gossip(EventLoop& loop, PeerTransport& transport, Membership& membership, Sink sink);
+  Gossip(EventLoop& loop, PeerTransport& transport, Membership& membership, ActionHandler onAction);
 
-  /// \brief Starts to tick.
+  /// \brief Starts the periodic ticks of Membership.
   void start();
-  /// \brief Whether a peer has acknowledged a batch that told of this leave.
-  bool wasSpread(const UpstreamId& upstream) const { return spread_.contains(upstream); }
+  /// \brief Whether a peer has acknowledged a message that announced the leave of \p upstream.
+  bool wasSpread(const UpstreamId& upstream) const {
+    return acknowledgedLeaves_.contains(upstream);
+  }
   void perform(const std::vector<MembershipAction>& actions);
 
  private:
@@ -40,8 +42,8 @@
   EventLoop& loop_;
   PeerTransport& transport_;
   Membership& membership_;
-  Sink sink_;
-  std::set<UpstreamId> spread_;
+  ActionHandler onAction_;
+  std::set<UpstreamId> acknowledgedLeaves_;
 };
 
 }  // namespace Hallchute
--- a/Hallchute/src/Daemon/GrantBroker.cpp
+++ b/Hallchute/src/Daemon/GrantBroker.cpp
@@ -20,10 +20,10 @@
 namespace Hallchute {
 namespace {
 
-/// Owners of one shard that are asked before the daemon decides alone.
-constexpr std::size_t kOwnersAsked = 2;
-/// Pause before a held grant is reported again after its stream closed.
-constexpr Millis kReholdPause{300};
+/// Owners of a shard that are tried before this daemon decides alone.
+constexpr std::size_t kMaxOwnersTried = 2;
+/// Delay before an active grant is reported again after its stream closed.
+constexpr Millis kReportRetryDelay{300};
 constexpr Millis kNoUpstreamRetryAfter{1'000};
 
 Millis remaining(Instant deadline) {
@@ -32,29 +32,29 @@
 
 }  // namespace
 
-/// One acquire() on its way.
-struct GrantBroker::Wish {
+/// The state of one acquire() call that has not returned.
+struct GrantBroker::PendingRequest {
   GrantSpec spec;
   std::vector<ShardKey> shards;
   std::size_t shardIndex = 0;
-  std::size_t ownersAsked = 0;
-  /// Raised whenever it is asked elsewhere, so that late words and timers count no more.
-  std::uint64_t round = 0;
+  std::size_t ownersTried = 0;
+  /// Incremented with each attempt; replies and timers of earlier attempts are ignored.
+  std::uint64_t attempt = 0;
   bool acknowledged = false;
   PeerStreamPtr stream;
   GrantId localId = 0;
-  ShardKey current;
+  ShardKey currentShard;
   std::optional<Refusal> refusal;
-  Instant since = clockNow();
-  std::function<void(GrantOutcome)> done;
+  Instant createdAt = clockNow();
+  std::function<void(GrantOutcome)> onDone;
 };
 
-/// A place held by this daemon.
-struct GrantBroker::Active {
+/// A slot at an upstream that is granted to this daemon.
+struct GrantBroker::ActiveGrant {
   std::uint64_t key = 0;
   ShardKey shard;
-  ExistingGrant held;
-  /// The owner it is counted at; empty stream and owner self: counted here.
+  ExistingGrant existing;
+  /// The shard owner that counts the grant. This daemon itself if `localId` is set.
   DaemonId owner;
   PeerStreamPtr stream;
   GrantId localId = 0;
@@ -78,16 +78,16 @@
 
 GrantOutcome GrantBroker::acquire(const GrantSpec& spec) {
   std::promise<GrantOutcome> promise;
-  auto wish = std::make_shared<Wish>();
-  wish->spec = spec;
-  wish->done = [&promise](GrantOutcome outcome) { promise.set_value(std::move(outcome)); };
-  loop_.post([this, wish] { start(wish); });
+  auto pending = std::make_shared<PendingRequest>();
+  pending->spec = spec;
+  pending->onDone = [&promise](GrantOutcome outcome) { promise.set_value(std::move(outcome)); };
+  loop_.post([this, pending] { start(pending); });
   return promise.get_future().get();
 }
 
 std::vector<ShardKey> GrantBroker::shardsFor(const GrantSpec& spec) const {
   std::vector<ShardKey> shards;
-  const DomainName& home = membership_.self().domain;
+  const DomainName& ownDomain = membership_.self().domain;
   const auto add = [&](const DomainName& domain) {
     const std::size_t live = directory_.live(spec.service, domain).size();
     if (live == 0) return;
@@ -95,9 +95,9 @@
       shards.push_back({spec.service, domain, index});
     }
   };
-  add(home);
+  add(ownDomain);
   for (const DomainName& domain : directory_.domainsOf(spec.service)) {
-    if (domain != home) add(domain);
+    if (domain != ownDomain) add(domain);
   }
   return shards;
 }
@@ -108,179 +108,181 @@
   return rankOwners(shard.text(), owners).front();
 }
 
-void GrantBroker::start(const WishPtr& wish) {
-  wish->shards = shardsFor(wish->spec);
-  askNext(wish);
+void GrantBroker::start(const PendingRequestPtr& pending) {
+  pending->shards = shardsFor(pending->spec);
+  requestFromNextOwner(pending);
 }
 
-void GrantBroker::askNext(const WishPtr& wish) {
-  ++wish->round;
-  wish->acknowledged = false;
-  wish->stream = nullptr;
-  if (wish->shardIndex >= wish->shards.size()) {
+void GrantBroker::requestFromNextOwner(const PendingRequestPtr& pending) {
+  ++pending->attempt;
+  pending->acknowledged = false;
+  pending->stream = nullptr;
+  if (pending->shardIndex >= pending->shards.size()) {
     const Refusal none{RefusalReason::noUpstream, "no upstream of the service is known to live",
                        RunOutcome::notRun, kNoUpstreamRetryAfter};
-    finish(wish, wish->refusal.value_or(none));
+    finish(pending, pending->refusal.value_or(none));
     return;
   }
-  ShardKey shard = wish->shards[wish->shardIndex];
-  const bool home = shard.domain == membership_.self().domain;
+  ShardKey shard = pending->shards[pending->shardIndex];
+  const bool isOwnDomain = shard.domain == membership_.self().domain;
   const std::vector<DaemonId> ranked = rankOwners(shard.text(), membership_.owners(shard.domain));
-  if (wish->ownersAsked >= std::min(kOwnersAsked, ranked.size())) {
-    if (home) {
+  if (pending->ownersTried >= std::min(kMaxOwnersTried, ranked.size())) {
+    if (isOwnDomain) {
       shard.index = ShardOwners::kAlone;
       metrics_.add("hallchute_grants_alone_total", "");
-      askLocal(wish, shard);
+      requestLocally(pending, shard);
       return;
     }
-    ++wish->shardIndex;
-    wish->ownersAsked = 0;
-    askNext(wish);
+    ++pending->shardIndex;
+    pending->ownersTried = 0;
+    requestFromNextOwner(pending);
     return;
   }
-  const DaemonId& owner = ranked[wish->ownersAsked++];
+  const DaemonId& owner = ranked[pending->ownersTried++];
   if (owner == membership_.self().id) {
-    askLocal(wish, shard);
+    requestLocally(pending, shard);
   } else {
-    askPeer(wish, shard, membership_.find(owner)->status.address);
+    requestFromPeer(pending, shard, membership_.find(owner)->status.address);
   }
 }
 
-void GrantBroker::askLocal(const WishPtr& wish, const ShardKey& shard) {
-  wish->current = shard;
-  wish->localId = owners_.newId();
-  wish->acknowledged = true;
-  GrantRequest wanted = wish->spec.wanted;
-  wanted.id = wish->localId;
-  const auto sink = [this, wish](const GrantAction& action) {
-    std::visit(Overloaded{[&](const Granted& g) { grant(wish, g.upstream); }, [](const Queued&) {},
-                          [&](const GrantRefused& r) {
-                            owners_.release(wish->current, r.id, GrantEnd::cancelled, clockNow());
-                            onRefused(wish, r.refusal);
-                          }},
-               action);
+void GrantBroker::requestLocally(const PendingRequestPtr& pending, const ShardKey& shard) {
+  pending->currentShard = shard;
+  pending->localId = owners_.newId();
+  pending->acknowledged = true;
+  GrantRequest wanted = pending->spec.wanted;
+  wanted.id = pending->localId;
+  const auto onAction = [this, pending](const GrantAction& action) {
+    std::visit(
+        Overloaded{[&](const Granted& g) { onGranted(pending, g.upstream); }, [](const Queued&) {},
+                   [&](const GrantRefused& r) {
+                     owners_.release(pending->currentShard, r.id, GrantEnd::cancelled, clockNow());
+                     onRefused(pending, r.refusal);
+                   }},
+        action);
   };
-  owners_.requestGrant(shard, std::move(wanted), sink, clockNow());
+  owners_.requestGrant(shard, std::move(wanted), onAction, clockNow());
 }
 
-void GrantBroker::askPeer(const WishPtr& wish, const ShardKey& shard, const std::string& address) {
-  wish->current = shard;
-  wish->localId = 0;
-  const GrantRequestMessage request{shard, wish->spec.wanted,
-                                    remaining(wish->spec.wanted.deadline)};
-  const std::uint64_t round = wish->round;
-  wish->stream = transport_.open(address, PeerPath::kGrant, pack(request));
-  wish->stream->onMessage = [this, wish, round](std::string_view bytes) {
-    if (wish->round != round) return;
-    if (const auto reply = unpack<GrantReplyMessage>(bytes)) onReply(wish, *reply);
+void GrantBroker::requestFromPeer(const PendingRequestPtr& pending, const ShardKey& shard,
+                                  const std::string& address) {
+  pending->currentShard = shard;
+  pending->localId = 0;
+  const GrantRequestMessage request{shard, pending->spec.wanted,
+                                    remaining(pending->spec.wanted.deadline)};
+  const std::uint64_t attempt = pending->attempt;
+  pending->stream = transport_.open(address, PeerPath::kGrant, pack(request));
+  pending->stream->onMessage = [this, pending, attempt](std::string_view bytes) {
+    if (pending->attempt != attempt) return;
+    if (const auto reply = unpack<GrantReplyMessage>(bytes)) onReply(pending, *reply);
   };
-  wish->stream->onClosed = [this, wish, round] {
-    if (wish->round == round) askNext(wish);
+  pending->stream->onClosed = [this, pending, attempt] {
+    if (pending->attempt == attempt) requestFromNextOwner(pending);
   };
   const PolicyScope scope{membership_.self().domain, shard.service, OrganisationName()};
   const Millis limit(settings_.get()->tree.policy(PolicyKey::ownerAnswerMs, scope));
-  loop_.after(limit, [this, wish, round] {
-    if (wish->round != round || wish->acknowledged) return;
-    wish->stream->close();
-    askNext(wish);
+  loop_.after(limit, [this, pending, attempt] {
+    if (pending->attempt != attempt || pending->acknowledged) return;
+    pending->stream->close();
+    requestFromNextOwner(pending);
   });
-  // A queued wish whose owner then falls silent is answered all the same.
-  loop_.after(remaining(wish->spec.wanted.deadline) + limit, [this, wish, round] {
-    if (wish->round != round || !wish->done) return;
-    wish->stream->close();
-    onRefused(wish, {RefusalReason::overloaded, "the shard's owner fell silent", RunOutcome::notRun,
-                     kNoUpstreamRetryAfter});
+  // Ends a queued request whose owner stops responding.
+  loop_.after(remaining(pending->spec.wanted.deadline) + limit, [this, pending, attempt] {
+    if (pending->attempt != attempt || !pending->onDone) return;
+    pending->stream->close();
+    onRefused(pending, {RefusalReason::overloaded, "the shard's owner fell silent",
+                        RunOutcome::notRun, kNoUpstreamRetryAfter});
   });
 }
 
-void GrantBroker::onReply(const WishPtr& wish, const GrantReplyMessage& reply) {
-  wish->acknowledged = true;
+void GrantBroker::onReply(const PendingRequestPtr& pending, const GrantReplyMessage& reply) {
+  pending->acknowledged = true;
   switch (reply.word) {
     case GrantWord::queued:
       return;
     case GrantWord::granted:
-      grant(wish, reply.upstream);
+      onGranted(pending, reply.upstream);
       return;
     case GrantWord::refused:
-      wish->stream->close();
-      onRefused(wish, reply.refusal);
+      pending->stream->close();
+      onRefused(pending, reply.refusal);
       return;
   }
 }
 
-void GrantBroker::onRefused(const WishPtr& wish, const Refusal& refusal) {
-  if (!wish->refusal || wish->refusal->reason == RefusalReason::noUpstream) {
-    wish->refusal = refusal;
+void GrantBroker::onRefused(const PendingRequestPtr& pending, const Refusal& refusal) {
+  if (!pending->refusal || pending->refusal->reason == RefusalReason::noUpstream) {
+    pending->refusal = refusal;
   }
   const bool elsewhere =
       refusal.reason == RefusalReason::noUpstream || refusal.reason == RefusalReason::overloaded;
-  if (!elsewhere || clockNow() >= wish->spec.wanted.deadline) {
-    finish(wish, refusal);
+  if (!elsewhere || clockNow() >= pending->spec.wanted.deadline) {
+    finish(pending, refusal);
     return;
   }
-  ++wish->shardIndex;
-  wish->ownersAsked = 0;
-  askNext(wish);
+  ++pending->shardIndex;
+  pending->ownersTried = 0;
+  requestFromNextOwner(pending);
 }
 
-void GrantBroker::finish(const WishPtr& wish, GrantOutcome outcome) {
-  ++wish->round;
-  const auto done = std::move(wish->done);
-  wish->done = nullptr;
-  if (done) done(std::move(outcome));
+void GrantBroker::finish(const PendingRequestPtr& pending, GrantOutcome outcome) {
+  ++pending->attempt;
+  const auto onDone = std::move(pending->onDone);
+  pending->onDone = nullptr;
+  if (onDone) onDone(std::move(outcome));
 }
 
-void GrantBroker::grant(const WishPtr& wish, const UpstreamId& upstream) {
-  const UpstreamInfo* info = directory_.find(upstream);
-  auto active = std::make_shared<Active>();
+void GrantBroker::onGranted(const PendingRequestPtr& pending, const UpstreamId& upstream) {
+  const UpstreamInfo* upstreamInfo = directory_.find(upstream);
+  auto active = std::make_shared<ActiveGrant>();
   active->key = nextKey_++;
-  active->shard = wish->current;
-  active->held = {0, upstream, wish->spec.wanted.organisation,
-                  wish->spec.wanted.promptTokens + wish->spec.wanted.expectedTokens};
-  active->stream = wish->stream;
-  active->localId = wish->localId;
-  active->owner =
-      wish->localId != 0 ? membership_.self().id : ownerOf(wish->current).value_or(DaemonId());
-  active_[active->key] = active;
+  active->shard = pending->currentShard;
+  active->existing = {0, upstream, pending->spec.wanted.organisation,
+                      pending->spec.wanted.promptTokens + pending->spec.wanted.expectedTokens};
+  active->stream = pending->stream;
+  active->localId = pending->localId;
+  active->owner = pending->localId != 0 ? membership_.self().id
+                                        : ownerOf(pending->currentShard).value_or(DaemonId());
+  activeGrants_[active->key] = active;
   if (active->stream) {
     active->stream->onMessage = nullptr;
     active->stream->onClosed = [this, active] {
       active->stream = nullptr;
-      loop_.after(kReholdPause, [this, active] { holdAt(active); });
+      loop_.after(kReportRetryDelay, [this, active] { reportToOwner(active); });
     };
   }
   metrics_.add(active->stream ? "hallchute_grants_remote_total" : "hallchute_grants_local_total",
                "");
-  const auto waited = clockNow() - wish->since;
-  metrics_.time("hallchute_queue_ms", "service=\"" + wish->spec.service.str() + "\"", waited);
-  if (info == nullptr) {
+  const auto waited = clockNow() - pending->createdAt;
+  metrics_.time("hallchute_queue_ms", "service=\"" + pending->spec.service.str() + "\"", waited);
+  if (upstreamInfo == nullptr) {
     release(active->key, GrantEnd::cancelled);
-    finish(wish, Refusal{RefusalReason::noUpstream, "granted an upstream that is not known here",
-                         RunOutcome::notRun, kNoUpstreamRetryAfter});
+    finish(pending, Refusal{RefusalReason::noUpstream, "granted an upstream that is not known here",
+                            RunOutcome::notRun, kNoUpstreamRetryAfter});
     return;
   }
   auto hold = std::make_unique<GrantHold>(
-      upstream, info->host.address,
+      upstream, upstreamInfo->host.address,
       [this, key = active->key] { loop_.post([this, key] { noteFirstToken(key); }); },
       [this, key = active->key](GrantEnd end) {
         loop_.post([this, key, end] { release(key, end); });
       });
-  finish(wish, std::move(hold));
+  finish(pending, std::move(hold));
 }
 
 void GrantBroker::noteFirstToken(std::uint64_t key) {
-  const auto it = active_.find(key);
-  if (it == active_.end()) return;
-  const Active& active = *it->second;
+  const auto it = activeGrants_.find(key);
+  if (it == activeGrants_.end()) return;
+  const ActiveGrant& active = *it->second;
   if (active.localId != 0) owners_.noteFirstToken(active.shard, active.localId, clockNow());
   if (active.stream) active.stream->send(pack(GrantNoteMessage{false, GrantEnd::cancelled}));
 }
 
 void GrantBroker::release(std::uint64_t key, GrantEnd end) {
-  const auto it = active_.find(key);
-  if (it == active_.end()) return;
-  const ActivePtr active = it->second;
-  active_.erase(it);
+  const auto it = activeGrants_.find(key);
+  if (it == activeGrants_.end()) return;
+  const ActiveGrantPtr active = it->second;
+  activeGrants_.erase(it);
   if (active->localId != 0) owners_.release(active->shard, active->localId, end, clockNow());
   if (active->stream) {
     active->stream->onClosed = nullptr;
@@ -291,7 +293,7 @@
 
 void GrantBroker::onOwnersChanged() {
   owners_.setSharers(membership_.owners(membership_.self().domain).size());
-  for (const auto& [key, active] : active_) {
+  for (const auto& [key, active] : activeGrants_) {
     if (active->shard.index == ShardOwners::kAlone) continue;
     const auto owner = ownerOf(active->shard);
     if (!owner || *owner == active->owner) continue;
@@ -301,29 +303,29 @@
     }
     if (active->stream) active->stream->close();
     active->stream = nullptr;
-    holdAt(active);
+    reportToOwner(active);
   }
 }
 
-/// Counts a running grant at the shard's present owner.
-void GrantBroker::holdAt(const ActivePtr& active) {
-  if (!active_.contains(active->key) || active->stream || active->localId != 0) return;
+/// Reports an active grant to the current owner of its shard, which counts it from then on.
+void GrantBroker::reportToOwner(const ActiveGrantPtr& active) {
+  if (!activeGrants_.contains(active->key) || active->stream || active->localId != 0) return;
   const auto owner = ownerOf(active->shard);
   if (!owner) return;
   active->owner = *owner;
   if (*owner == membership_.self().id) {
     active->localId = owners_.newId();
-    ExistingGrant held = active->held;
-    held.id = active->localId;
-    owners_.hold(active->shard, held, clockNow());
+    ExistingGrant existing = active->existing;
+    existing.id = active->localId;
+    owners_.hold(active->shard, existing, clockNow());
     return;
   }
   const std::string address = membership_.find(*owner)->status.address;
   active->stream =
-      transport_.open(address, PeerPath::kHold, pack(HoldMessage{active->shard, active->held}));
+      transport_.open(address, PeerPath::kHold, pack(HoldMessage{active->shard, active->existing}));
   active->stream->onClosed = [this, active] {
     active->stream = nullptr;
-    loop_.after(kReholdPause, [this, active] { holdAt(active); });
+    loop_.after(kReportRetryDelay, [this, active] { reportToOwner(active); });
   };
 }
 
@@ -337,10 +339,10 @@
   stream->onClosed = [this, served] {
     if (served->id != 0) owners_.release(served->shard, served->id, served->end, clockNow());
   };
-  const std::weak_ptr<PeerStream> weak = stream;
-  stream->onMessage = [this, served, weak](std::string_view bytes) {
-    const PeerStreamPtr open = weak.lock();
-    if (!open) return;
+  const std::weak_ptr<PeerStream> weakStream = stream;
+  stream->onMessage = [this, served, weakStream](std::string_view bytes) {
+    const PeerStreamPtr openStream = weakStream.lock();
+    if (!openStream) return;
     if (served->id != 0) {
       const auto note = unpack<GrantNoteMessage>(bytes);
       if (note && note->ended) served->end = note->end;
@@ -349,7 +351,7 @@
     }
     const auto request = unpack<GrantRequestMessage>(bytes);
     if (!request) {
-      open->close();
+      openStream->close();
       return;
     }
     served->shard = request->shard;
@@ -357,9 +359,9 @@
     GrantRequest wanted = request->wanted;
     wanted.id = served->id;
     wanted.deadline = clockNow() + request->remaining;
-    const auto sink = [weak](const GrantAction& action) {
-      const PeerStreamPtr to = weak.lock();
-      if (!to) return;
+    const auto onAction = [weakStream](const GrantAction& action) {
+      const PeerStreamPtr replyStream = weakStream.lock();
+      if (!replyStream) return;
       GrantReplyMessage reply;
       std::visit(Overloaded{[&](const Granted& g) {
                               reply.word = GrantWord::granted;
@@ -371,9 +373,9 @@
                               reply.refusal = r.refusal;
                             }},
                  action);
-      to->send(pack(reply));
+      replyStream->send(pack(reply));
     };
-    owners_.requestGrant(served->shard, std::move(wanted), sink, clockNow());
+    owners_.requestGrant(served->shard, std::move(wanted), onAction, clockNow());
   };
 }
 
--- a/Hallchute/src/Daemon/GrantBroker.h
+++ b/Hallchute/src/Daemon/GrantBroker.h
@@ -27,12 +27,13 @@
 class ShardOwners;
 class UpstreamDirectory;
 
-/// \brief Gets places at upstreams from their shards' owners, and serves other daemons' wishes.
+/// \brief Requests slots at upstreams from the shard owners; serves the requests of other daemons.
 /// \ingroup Daemon
 ///
-/// A wish goes to the owner of its shard, then to the next in rank if the first gives no word, and
-/// in the own domain at last to this daemon alone, on a part of the places. Shards of other domains
-/// follow when the own ones refuse. Loop thread only, but for acquire().
+/// A request is sent to the owner of its shard, then to the owner ranked next if the first does not
+/// answer. If no owner in its own domain answers, this daemon decides alone, on its share of the
+/// slots. Shards of other domains are tried after those of the own domain have refused. Loop thread
+/// only, except acquire().
 class GrantBroker {
  public:
   GrantBroker(EventLoop& loop, PeerTransport& transport, const Membership& membership,
@@ -42,29 +43,31 @@
   GrantBroker(const GrantBroker&) = delete;
   GrantBroker& operator=(const GrantBroker&) = delete;
 
-  /// \brief Blocks until a place is granted or refused. Any thread but the loop's.
+  /// \brief Blocks until a slot is granted or refused. Any thread except the loop thread.
   GrantOutcome acquire(const GrantSpec& spec);
-  /// \brief Reports grants to owners that are new.
+  /// \brief Reports the active grants of shards whose owner has changed to their new owner.
   void onOwnersChanged();
-  std::size_t held() const { return active_.size(); }
+  /// \brief Number of active grants of this daemon.
+  std::size_t held() const { return activeGrants_.size(); }
 
  private:
-  struct Wish;
-  struct Active;
-  using WishPtr = std::shared_ptr<Wish>;
-  using ActivePtr = std::shared_ptr<Active>;
+  struct PendingRequest;
+  struct ActiveGrant;
+  using PendingRequestPtr = std::shared_ptr<PendingRequest>;
+  using ActiveGrantPtr = std::shared_ptr<ActiveGrant>;
 
-  void start(const WishPtr& wish);
-  void askNext(const WishPtr& wish);
-  void askLocal(const WishPtr& wish, const ShardKey& shard);
-  void askPeer(const WishPtr& wish, const ShardKey& shard, const std::string& address);
-  void onReply(const WishPtr& wish, const GrantReplyMessage& reply);
-  void onRefused(const WishPtr& wish, const Refusal& refusal);
-  void finish(const WishPtr& wish, GrantOutcome outcome);
-  void grant(const WishPtr& wish, const UpstreamId& upstream);
+  void start(const PendingRequestPtr& pending);
+  void requestFromNextOwner(const PendingRequestPtr& pending);
+  void requestLocally(const PendingRequestPtr& pending, const ShardKey& shard);
+  void requestFromPeer(const PendingRequestPtr& pending, const ShardKey& shard,
+                       const std::string& address);
+  void onReply(const PendingRequestPtr& pending, const GrantReplyMessage& reply);
+  void onRefused(const PendingRequestPtr& pending, const Refusal& refusal);
+  void finish(const PendingRequestPtr& pending, GrantOutcome outcome);
+  void onGranted(const PendingRequestPtr& pending, const UpstreamId& upstream);
   void noteFirstToken(std::uint64_t key);
   void release(std::uint64_t key, GrantEnd end);
-  void holdAt(const ActivePtr& active);
+  void reportToOwner(const ActiveGrantPtr& active);
   std::optional<DaemonId> ownerOf(const ShardKey& shard) const;
   std::vector<ShardKey> shardsFor(const GrantSpec& spec) const;
   void serveGrant(const PeerStreamPtr& stream);
@@ -77,7 +80,7 @@
   const SettingsStore& settings_;
   ShardOwners& owners_;
   Metrics& metrics_;
-  std::map<std::uint64_t, ActivePtr> active_;
+  std::map<std::uint64_t, ActiveGrantPtr> activeGrants_;
   std::uint64_t nextKey_ = 1;
 };
 
--- a/Hallchute/src/Daemon/GrantSpec.cpp
+++ b/Hallchute/src/Daemon/GrantSpec.cpp
@@ -5,20 +5,21 @@
 
 namespace Hallchute {
 
-GrantHold::GrantHold(UpstreamId upstream, std::string address, Started started, Release release)
+GrantHold::GrantHold(UpstreamId upstream, std::string address, FirstTokenCallback onFirstToken,
+                     ReleaseCallback onRelease)
     : upstream_(std::move(upstream)),
       address_(std::move(address)),
-      started_(std::move(started)),
-      release_(std::move(release)) {}
+      onFirstToken_(std::move(onFirstToken)),
+      onRelease_(std::move(onRelease)) {}
 
 GrantHold::~GrantHold() {
   end(GrantEnd::cancelled);
 }
 
 void GrantHold::end(GrantEnd end) {
-  const Release release = std::move(release_);
-  release_ = nullptr;
-  if (release) release(end);
+  const ReleaseCallback onRelease = std::move(onRelease_);
+  onRelease_ = nullptr;
+  if (onRelease) onRelease(end);
 }
 
 }  // namespace Hallchute
--- a/Hallchute/src/Daemon/GrantSpec.h
+++ b/Hallchute/src/Daemon/GrantSpec.h
@@ -16,40 +16,43 @@
 
 namespace Hallchute {
 
-/// \brief What a traffic thread asks a place for.
+/// \brief The request of a traffic thread for a slot at an upstream.
 /// \ingroup Daemon
 struct GrantSpec {
   ServiceName service;
-  /// Its id is set by the broker.
+  /// The broker sets its id.
   GrantRequest wanted;
 };
 
-/// \brief A place at an upstream, given back when it goes out of scope. Any thread.
+/// \brief RAII holder of a granted slot at an upstream, released on destruction. Any thread.
 /// \ingroup Daemon
 class GrantHold {
  public:
-  using Release = std::function<void(GrantEnd)>;
-  using Started = std::function<void()>;
+  using ReleaseCallback = std::function<void(GrantEnd)>;
+  using FirstTokenCallback = std::function<void()>;
 
-  GrantHold(UpstreamId upstream, std::string address, Started started, Release release);
+  GrantHold(UpstreamId upstream, std::string address, FirstTokenCallback onFirstToken,
+            ReleaseCallback onRelease);
   ~GrantHold();
   GrantHold(const GrantHold&) = delete;
   GrantHold& operator=(const GrantHold&) = delete;
 
   const UpstreamId& upstream() const { return upstream_; }
   const std::string& address() const { return address_; }
-  /// \brief Says that the first token came: the upstream can take the next prompt.
-  void noteFirstToken() const { started_(); }
-  /// \brief Gives the place back, saying how its work ended. Later calls do nothing.
+  /// \brief Reports the first token: the prefill is complete and the upstream can accept another
+  /// prompt.
+  void noteFirstToken() const { onFirstToken_(); }
+  /// \brief Releases the slot and reports how its work ended. Further calls have no effect.
   void end(GrantEnd end);
 
  private:
   UpstreamId upstream_;
   std::string address_;
-  Started started_;
-  Release release_;
+  FirstTokenCallback onFirstToken_;
+  ReleaseCallback onRelease_;
 };
 
+/// \brief A granted slot, or the reason why none was granted.
 /// \ingroup Daemon
 using GrantOutcome = std::variant<std::unique_ptr<GrantHold>, Refusal>;
 
--- a/Hallchute/src/Daemon/HealthHandler.h
+++ b/Hallchute/src/Daemon/HealthHandler.h
@@ -12,23 +12,23 @@
 
 namespace Hallchute {
 
-/// \brief Answers `/healthz` and `/readyz`: 200 or 503.
+/// \brief Serves `/healthz` and `/readyz`: 200 if healthy, 503 otherwise.
 /// \ingroup Daemon
 class HealthHandler final : public Poco::Net::HTTPRequestHandler {
  public:
-  explicit HealthHandler(bool good) : good_(good) {}
+  explicit HealthHandler(bool healthy) : healthy_(healthy) {}
   void handleRequest(Poco::Net::HTTPServerRequest&,
                      Poco::Net::HTTPServerResponse& response) override {
     using Poco::Net::HTTPResponse;
-    response.setStatusAndReason(good_ ? HTTPResponse::HTTP_OK
-                                      : HTTPResponse::HTTP_SERVICE_UNAVAILABLE);
+    response.setStatusAndReason(healthy_ ? HTTPResponse::HTTP_OK
+                                         : HTTPResponse::HTTP_SERVICE_UNAVAILABLE);
     response.setContentType("text/plain");
-    const std::string body = good_ ? "ok\n" : "stopping\n";
+    const std::string body = healthy_ ? "ok\n" : "stopping\n";
     response.sendBuffer(body.data(), body.size());
   }
 
  private:
-  bool good_;
+  bool healthy_;
 };
 
 }  // namespace Hallchute
