--- a/Hallchute/src/Daemon/Job.cpp
+++ b/Hallchute/src/Daemon/Job.cpp
@@ -10,8 +10,9 @@
 namespace Hallchute {
 namespace {
 
-/// Classes above the middle weigh more: their recomputed tokens cost their callers' patience.
-double weightOf(const JobSpec& spec) {
+/// Weight of a recomputed token in the migration plan: recomputation makes the caller wait, which
+/// counts more for durable requests.
+double migrationWeight(const JobSpec& spec) {
   return spec.durable ? 2.0 : 1.0;
 }
 
@@ -30,7 +31,7 @@
     const std::lock_guard lock(mutex_);
     listeners = listeners_;
   }
-  changed_.notify_all();
+  stateChanged_.notify_all();
   for (const auto& listener : listeners) listener();
 }
 
@@ -43,19 +44,19 @@
   const std::lock_guard lock(mutex_);
   stage_ = JobStage::running;
   upstream_ = upstream;
-  tokensAtAttempt_ = answer_.tokens().size();
-  attemptSince_ = clockNow();
+  tokensAtAttemptStart_ = answer_.tokens().size();
+  attemptStartedAt_ = clockNow();
   return answer_.beginAttempt();
 }
 
 ChunkResult Job::accept(const AnswerChunk& chunk) {
-  ChunkResult verdict;
+  ChunkResult result;
   {
     const std::lock_guard lock(mutex_);
-    verdict = answer_.accept(chunk);
+    result = answer_.accept(chunk);
   }
-  if (verdict == ChunkResult::appended) notify();
-  return verdict;
+  if (result == ChunkResult::appended) notify();
+  return result;
 }
 
 void Job::mirror(const std::vector<std::string>& tokens) {
@@ -102,14 +103,15 @@
 
 JobOrder Job::pauseFor(Millis time) {
   std::unique_lock lock(mutex_);
-  changed_.wait_for(lock, time, [&] { return orderNow_ != JobOrder::none; });
-  return orderNow_;
+  stateChanged_.wait_for(lock, time, [&] { return command_ != JobOrder::none; });
+  return command_;
 }
 
 Migration Job::takeMove() {
   const std::lock_guard lock(mutex_);
-  if (orderNow_ == JobOrder::move) orderNow_ = JobOrder::none;
-  // It has left: it must not be ordered away from there once more.
+  if (command_ == JobOrder::move) command_ = JobOrder::none;
+  // The job no longer runs at this upstream; without an upstream it gets no second `move` command
+  // for the same leave.
   upstream_ = UpstreamId();
   return migration_;
 }
@@ -120,52 +122,52 @@
     paused_ = true;
     upstream_ = UpstreamId();
   }
-  changed_.notify_all();
+  stateChanged_.notify_all();
 }
 
-void Job::setOrder(JobOrder order) {
+void Job::setCommand(JobOrder command) {
   {
     const std::lock_guard lock(mutex_);
-    if (ended() || orderNow_ == JobOrder::cancel) return;
-    orderNow_ = order;
+    if (ended() || command_ == JobOrder::cancel) return;
+    command_ = command;
   }
-  changed_.notify_all();
+  stateChanged_.notify_all();
 }
 
 void Job::orderMove(const Migration& migration) {
   {
     const std::lock_guard lock(mutex_);
-    if (orderNow_ != JobOrder::none) return;
+    if (command_ != JobOrder::none) return;
     migration_ = migration;
   }
-  setOrder(JobOrder::move);
+  setCommand(JobOrder::move);
 }
 
 void Job::orderPause() {
-  setOrder(JobOrder::pause);
+  setCommand(JobOrder::pause);
 }
 
 void Job::orderCancel() {
-  setOrder(JobOrder::cancel);
+  setCommand(JobOrder::cancel);
 }
 
 bool Job::waitPaused(Millis limit) {
   std::unique_lock lock(mutex_);
-  changed_.wait_for(lock, limit, [&] { return paused_ || ended(); });
+  stateChanged_.wait_for(lock, limit, [&] { return paused_ || ended(); });
   return paused_ && !ended();
 }
 
 void Job::resume() {
   const std::lock_guard lock(mutex_);
   paused_ = false;
-  if (orderNow_ == JobOrder::pause) orderNow_ = JobOrder::none;
+  if (command_ == JobOrder::pause) command_ = JobOrder::none;
 }
 
 void Job::markHandedOver(const DaemonId& peer) {
   {
     const std::lock_guard lock(mutex_);
     stage_ = JobStage::handedOver;
-    handedTo_ = peer;
+    handedOverTo_ = peer;
     endedAt_ = clockNow();
   }
   notify();
@@ -181,23 +183,24 @@
   return stage_;
 }
 
-std::optional<DaemonId> Job::handedTo() const {
+std::optional<DaemonId> Job::handedOverTo() const {
   const std::lock_guard lock(mutex_);
-  return handedTo_;
+  return handedOverTo_;
 }
 
 RunningStream Job::streamFacts(Instant now) const {
   const std::lock_guard lock(mutex_);
-  RunningStream facts;
+  RunningStream stream;
   const std::size_t produced = answer_.tokens().size();
-  facts.contextTokens = spec_.promptTokens + produced;
-  facts.remainingTokens = spec_.maxTokens - std::min(produced, spec_.maxTokens);
-  const std::chrono::duration<double> ran = now - attemptSince_;
-  if (ran.count() > 0) {
-    facts.tokensPerSecond = static_cast<double>(produced - tokensAtAttempt_) / ran.count();
+  stream.contextTokens = spec_.promptTokens + produced;
+  stream.remainingTokens = spec_.maxTokens - std::min(produced, spec_.maxTokens);
+  const std::chrono::duration<double> elapsed = now - attemptStartedAt_;
+  if (elapsed.count() > 0) {
+    stream.tokensPerSecond =
+        static_cast<double>(produced - tokensAtAttemptStart_) / elapsed.count();
   }
-  facts.weight = weightOf(spec_);
-  return facts;
+  stream.weight = migrationWeight(spec_);
+  return stream;
 }
 
 HandOverRecord Job::record(const DaemonId& holder, std::uint64_t generation) const {
@@ -223,7 +226,7 @@
 
 JobView Job::view(std::size_t offset, Millis wait) const {
   std::unique_lock lock(mutex_);
-  changed_.wait_for(lock, wait, [&] { return answer_.tokens().size() > offset || ended(); });
+  stateChanged_.wait_for(lock, wait, [&] { return answer_.tokens().size() > offset || ended(); });
   JobView view;
   view.stage = stage_;
   view.refusal = refusal_;
--- a/Hallchute/src/Daemon/Job.h
+++ b/Hallchute/src/Daemon/Job.h
@@ -21,15 +21,15 @@
 
 namespace Hallchute {
 
-/// \brief How far a job is on this daemon.
+/// \brief The stage of a job on this daemon.
 /// \ingroup Daemon
 enum class JobStage { waiting, running, finished, refused, handedOver };
 
-/// \brief What a runner must stop for.
+/// \brief A request to the runner of a job to stop its current attempt.
 /// \ingroup Daemon
 enum class JobOrder { none, move, pause, cancel };
 
-/// \brief What a reader sees of an answer from some token on.
+/// \brief The part of an answer from a given token on, as returned to a reader.
 /// \ingroup Daemon
 struct JobView {
   JobStage stage = JobStage::waiting;
@@ -37,14 +37,15 @@
   std::optional<Refusal> refusal;
 };
 
-/// \brief A generation on its way: written by one runner, read by any number of callers.
+/// \brief A generation in progress: written by one runner, read by any number of callers.
 /// \ingroup Daemon
 ///
-/// Any thread. The answer outlives its connections: a caller may come back for it.
+/// Thread-safe. The answer outlives its connections: a caller may reconnect and continue to read
+/// it.
 class Job {
  public:
   explicit Job(JobSpec spec);
-  /// \brief Goes on where another daemon stopped.
+  /// \brief Resumes a generation that another daemon has started.
   Job(JobSpec spec, std::uint64_t epoch, std::vector<std::string> tokens);
 
   const JobSpec& spec() const { return spec_; }
@@ -56,65 +57,65 @@
   std::size_t tokenCount() const;
   void finish();
   void refuse(Refusal refusal);
-  /// \brief Waits for \p time or until an order comes. \returns the order.
+  /// \brief Waits until a command is pending, at most for \p time. \returns the pending command.
   JobOrder pauseFor(Millis time);
-  JobOrder order() const { return orderNow_.load(); }
-  /// \brief Takes a `move` order. \returns how to move.
+  JobOrder order() const { return command_.load(); }
+  /// \brief Clears a pending `move` command. \returns the migration to perform.
   Migration takeMove();
-  /// \brief Says that the runner has stopped for a `pause` order.
+  /// \brief Reports that the runner has stopped because of a `pause` command.
   void notePaused();
 
-  /// \brief Appends tokens of a job that runs on another daemon and is only shown here.
+  /// \brief Appends tokens of a job that runs on another daemon and is only read here.
   void mirror(const std::vector<std::string>& tokens);
 
-  // For control.
+  // For Control and Drain.
   void orderMove(const Migration& migration);
   void orderPause();
   void orderCancel();
-  /// \brief Waits until the runner stopped. \returns false on time-out or if the job has ended.
+  /// \brief Waits until the runner has paused. \returns false on timeout or if the job has ended.
   bool waitPaused(Millis limit);
-  /// \brief Lets a paused job run again.
+  /// \brief Clears the pause, so that the job can be run again.
   void resume();
   void markHandedOver(const DaemonId& peer);
   UpstreamId upstream() const;
   JobStage stage() const;
-  std::optional<DaemonId> handedTo() const;
-  /// \brief What planMigrations() needs to know.
+  std::optional<DaemonId> handedOverTo() const;
+  /// \brief The input of planMigrations() for this job.
   RunningStream streamFacts(Instant now) const;
   HandOverRecord record(const DaemonId& holder, std::uint64_t generation) const;
 
   // For readers.
-  /// \brief The tokens from \p offset on; waits up to \p wait for one or for the end.
+  /// \brief Returns the tokens from \p offset on; waits up to \p wait for a token or the end.
   JobView view(std::size_t offset, Millis wait) const;
-  /// \brief Called from the runner's thread whenever there is something new to read.
+  /// \brief Adds a listener, called by the writing thread after new tokens and at the end.
   void addListener(std::function<void()> listener);
   void attach() { ++readers_; }
   void detach(Instant now);
-  /// \brief Whether nobody has read it for \p limit.
+  /// \brief Whether the unfinished job has had no reader for at least \p limit.
   bool abandonedFor(Millis limit, Instant now) const;
   Instant endedAt() const;
 
  private:
-  void setOrder(JobOrder order);
+  void setCommand(JobOrder command);
   void notify();
   bool ended() const;
 
   const JobSpec spec_;
   mutable std::mutex mutex_;
-  mutable std::condition_variable changed_;
+  mutable std::condition_variable stateChanged_;
   std::vector<std::function<void()>> listeners_;
   AnswerAssembler answer_;
   JobStage stage_ = JobStage::waiting;
   std::optional<Refusal> refusal_;
-  std::optional<DaemonId> handedTo_;
+  std::optional<DaemonId> handedOverTo_;
   Migration migration_ = Recompute{};
   UpstreamId upstream_;
-  std::size_t tokensAtAttempt_ = 0;
-  Instant attemptSince_{};
+  std::size_t tokensAtAttemptStart_ = 0;
+  Instant attemptStartedAt_{};
   Instant endedAt_{};
   Instant detachedAt_{};
   bool paused_ = false;
-  std::atomic<JobOrder> orderNow_{JobOrder::none};
+  std::atomic<JobOrder> command_{JobOrder::none};
   std::atomic<int> readers_{0};
 };
 
--- a/Hallchute/src/Daemon/JobFactory.cpp
+++ b/Hallchute/src/Daemon/JobFactory.cpp
@@ -11,33 +11,33 @@
 namespace Hallchute {
 namespace {
 
-std::uint64_t affinityOf(const GenerationWish& wish, const PrefixBlocks& blocks) {
-  const std::uint64_t seed = stableHash(wish.organisation->name.str());
-  if (!wish.session.empty()) return stableHash(wish.session, seed);
+std::uint64_t affinityOf(const GenerationWish& parameters, const PrefixBlocks& blocks) {
+  const std::uint64_t seed = stableHash(parameters.organisation->name.str());
+  if (!parameters.session.empty()) return stableHash(parameters.session, seed);
   if (!blocks.hashes.empty()) return blocks.hashes.front() ^ seed;
-  return stableHash(wish.prompt, seed);
+  return stableHash(parameters.prompt, seed);
 }
 
 }  // namespace
 
-JobSpec makeJobSpec(const GenerationWish& wish, const SettingsTree& tree,
+JobSpec makeJobSpec(const GenerationWish& parameters, const SettingsTree& tree,
                     const DomainName& domain) {
-  const PolicyScope scope{domain, wish.service, wish.organisation->name};
-  const PrefixBlocks blocks = prefixBlocks(wish.prompt);
+  const PolicyScope scope{domain, parameters.service, parameters.organisation->name};
+  const PrefixBlocks blocks = prefixBlocks(parameters.prompt);
   JobSpec spec;
-  spec.request = wish.request;
-  spec.organisation = wish.organisation->name;
-  spec.service = wish.service;
-  spec.workClass = wish.workClass->name;
-  spec.weight = static_cast<double>(wish.organisation->weight);
-  spec.priority = wish.workClass->priority;
-  spec.durable = wish.durable;
-  spec.chat = wish.chat;
-  spec.prompt = wish.prompt;
+  spec.request = parameters.request;
+  spec.organisation = parameters.organisation->name;
+  spec.service = parameters.service;
+  spec.workClass = parameters.workClass->name;
+  spec.weight = static_cast<double>(parameters.organisation->weight);
+  spec.priority = parameters.workClass->priority;
+  spec.durable = parameters.durable;
+  spec.chat = parameters.chat;
+  spec.prompt = parameters.prompt;
   spec.promptTokens = blocks.tokens;
   spec.prefixHashes = blocks.hashes;
-  spec.affinity = affinityOf(wish, blocks);
-  spec.maxTokens = wish.maxTokens;
+  spec.affinity = affinityOf(parameters, blocks);
+  spec.maxTokens = parameters.maxTokens;
   spec.accepted = clockNow();
   spec.deadline = spec.accepted + Millis(tree.policy(PolicyKey::requestLimitMs, scope));
   spec.queueLimit = Millis(tree.policy(PolicyKey::queueLimitMs, scope));
@@ -57,17 +57,18 @@
     workClass = it->second;
   }
   workClass.name = record.workClass;
-  GenerationWish wish;
-  wish.request = record.request;
-  wish.organisation = &organisation;
-  wish.workClass = &workClass;
-  wish.service = record.service;
-  wish.chat = record.chat;
-  // It was accepted elsewhere: it is kept until it is done or its deadline passes.
-  wish.durable = true;
-  wish.prompt = record.prompt;
-  wish.maxTokens = record.maxTokens;
-  return std::make_shared<Job>(makeJobSpec(wish, tree, domain), record.epoch, record.tokens);
+  GenerationWish parameters;
+  parameters.request = record.request;
+  parameters.organisation = &organisation;
+  parameters.workClass = &workClass;
+  parameters.service = record.service;
+  parameters.chat = record.chat;
+  // Another daemon has already accepted the request: it is retried until it finishes or its
+  // deadline passes.
+  parameters.durable = true;
+  parameters.prompt = record.prompt;
+  parameters.maxTokens = record.maxTokens;
+  return std::make_shared<Job>(makeJobSpec(parameters, tree, domain), record.epoch, record.tokens);
 }
 
 }  // namespace Hallchute
--- a/Hallchute/src/Daemon/JobFactory.h
+++ b/Hallchute/src/Daemon/JobFactory.h
@@ -16,7 +16,7 @@
 
 class Job;
 
-/// \brief A generation as a caller asked for it, after its checks.
+/// \brief A validated generation request, the input of makeJobSpec().
 /// \ingroup Daemon
 struct GenerationWish {
   RequestId request;
@@ -27,15 +27,17 @@
   bool durable = false;
   std::string prompt;
   std::size_t maxTokens = 0;
-  /// What ties requests of one session together; empty: the first block of the prompt.
+  /// Affinity key shared by the requests of one session; if empty, the first block of the prompt is
+  /// used.
   std::string session;
 };
 
-/// \brief The specification of a job, with the numbers in force.
+/// \brief Builds the specification of a job with the policy values in effect.
 /// \ingroup Daemon
-JobSpec makeJobSpec(const GenerationWish& wish, const SettingsTree& tree, const DomainName& domain);
+JobSpec makeJobSpec(const GenerationWish& parameters, const SettingsTree& tree,
+                    const DomainName& domain);
 
-/// \brief Makes a job of a record that another daemon left.
+/// \brief Creates a job that resumes from the record of another daemon.
 /// \ingroup Daemon
 std::shared_ptr<Job> makeJob(const HandOverRecord& record, const SettingsTree& tree,
                              const DomainName& domain);
--- a/Hallchute/src/Daemon/JobSpec.h
+++ b/Hallchute/src/Daemon/JobSpec.h
@@ -13,7 +13,7 @@
 
 namespace Hallchute {
 
-/// \brief A generation that was asked for. It does not change while it runs.
+/// \brief A requested generation. Immutable while the job runs.
 /// \ingroup Daemon
 struct JobSpec {
   RequestId request;
--- a/Hallchute/src/Daemon/JobStarter.cpp
+++ b/Hallchute/src/Daemon/JobStarter.cpp
@@ -15,7 +15,7 @@
 namespace Hallchute {
 namespace {
 
-constexpr Millis kStopLimit{10'000};
+constexpr Millis kShutdownTimeout{10'000};
 
 }  // namespace
 
@@ -23,7 +23,7 @@
     : context_(context), records_(records) {}
 
 JobStarter::~JobStarter() {
-  waitIdle(kStopLimit);
+  waitIdle(kShutdownTimeout);
 }
 
 void JobStarter::start(const JobPtr& job) {
--- a/Hallchute/src/Daemon/JobStarter.h
+++ b/Hallchute/src/Daemon/JobStarter.h
@@ -18,7 +18,7 @@
 class JobRecords;
 struct TrafficContext;
 
-/// \brief Gives each job a thread. Any thread.
+/// \brief Runs each job on a thread of its own. Thread-safe.
 /// \ingroup Daemon
 class JobStarter {
  public:
@@ -27,11 +27,11 @@
   JobStarter(const JobStarter&) = delete;
   JobStarter& operator=(const JobStarter&) = delete;
 
-  /// \brief Puts \p job into the table and runs it.
+  /// \brief Adds \p job to the job table and runs it.
   void start(const JobPtr& job);
-  /// \brief Runs a job again that was paused.
+  /// \brief Resumes a paused job.
   void resume(const JobPtr& job);
-  /// \brief Waits until no job runs. \returns whether none does.
+  /// \brief Waits until no job is running. \returns false on timeout.
   bool waitIdle(Millis limit);
 
  private:
--- a/Hallchute/src/Daemon/JobTable.cpp
+++ b/Hallchute/src/Daemon/JobTable.cpp
@@ -8,10 +8,10 @@
 namespace Hallchute {
 namespace {
 
-/// An answer can be fetched again this long after its end.
-constexpr Millis kKeepEnded{60'000};
-/// A caller that lost its connection may come back within this time.
-constexpr Millis kKeepUnread{15'000};
+/// An answer can still be read for this time after its job has ended.
+constexpr Millis kEndedJobRetention{60'000};
+/// A caller that has lost its connection can reconnect within this time.
+constexpr Millis kReconnectTimeout{15'000};
 
 bool hasEnded(JobStage stage) {
   return stage == JobStage::finished || stage == JobStage::refused || stage == JobStage::handedOver;
@@ -46,11 +46,11 @@
 
 void JobTable::sweep(Instant now) {
   for (const JobPtr& job : running()) {
-    if (!job->spec().durable && job->abandonedFor(kKeepUnread, now)) job->orderCancel();
+    if (!job->spec().durable && job->abandonedFor(kReconnectTimeout, now)) job->orderCancel();
   }
   const std::lock_guard lock(mutex_);
   std::erase_if(jobs_, [&](const auto& entry) {
-    return hasEnded(entry.second->stage()) && now - entry.second->endedAt() >= kKeepEnded;
+    return hasEnded(entry.second->stage()) && now - entry.second->endedAt() >= kEndedJobRetention;
   });
 }
 
--- a/Hallchute/src/Daemon/JobTable.h
+++ b/Hallchute/src/Daemon/JobTable.h
@@ -17,16 +17,16 @@
 class Job;
 using JobPtr = std::shared_ptr<Job>;
 
-/// \brief The jobs of this daemon, and for a minute those that ended. Any thread.
+/// \brief The jobs of this daemon; ended jobs are retained for one minute. Thread-safe.
 /// \ingroup Daemon
 class JobTable {
  public:
   void add(const JobPtr& job);
   JobPtr find(const RequestId& request) const;
   std::vector<JobPtr> all() const;
-  /// \brief Jobs that have not ended here.
+  /// \brief Jobs that have not ended on this daemon.
   std::vector<JobPtr> running() const;
-  /// \brief Forgets what ended long ago; cancels what nobody reads and nothing keeps.
+  /// \brief Removes jobs that ended too long ago; cancels unread jobs that are not durable.
   void sweep(Instant now);
 
  private:
