--- a/Hallchute/src/Daemon/JobRecords.cpp
+++ b/Hallchute/src/Daemon/JobRecords.cpp
@@ -15,13 +15,13 @@
 namespace Hallchute {
 namespace {
 
-constexpr std::size_t kPage = 200;
-/// A holder must be missing this long before its requests are taken on.
-constexpr Millis kGoneFor{1'500};
-/// How often the growing answer of a running request is written.
-constexpr Millis kSaveEvery{5'000};
+constexpr std::size_t kListPageSize = 200;
+/// A holder must be missing for this time before its requests are taken over.
+constexpr Millis kHolderTimeout{1'500};
+/// Interval at which the partial answer of a running request is written.
+constexpr Millis kCheckpointInterval{5'000};
 constexpr Millis kPlatformRetryAfter{1'000};
-constexpr int kMaxTries = 3;
+constexpr int kMaxCreateAttempts = 3;
 
 bool hasEnded(JobStage stage) {
   return stage == JobStage::finished || stage == JobStage::refused;
@@ -34,7 +34,7 @@
 bool JobRecords::create(const Job& job, std::uint64_t generation) {
   const std::string key = requestKey(job.spec().request);
   const std::string text = handOverText(job.record(context_.daemon, generation));
-  for (int attempt = 0; attempt < kMaxTries; ++attempt) {
+  for (int attempt = 0; attempt < kMaxCreateAttempts; ++attempt) {
     context_.metrics.add("hallchute_platform_calls_total", "kind=\"job-write\"");
     const auto reply = context_.platform.write(key, text, 0);
     std::uint64_t version = 0;
@@ -44,14 +44,15 @@
                refused != nullptr && refused->reason != PlatformRefusal::conflict) {
       return false;
     } else {
-      // Request ids are random: an object that stands there is this one's, its reply was lost.
+      // Either the reply was lost or the key exists. Request ids are random: an object with the
+      // same text is the one written here.
       const auto read = context_.platform.read(key);
       const auto* found = std::get_if<Done<StoredObject>>(&read);
       if (found != nullptr && found->value.value == text) version = found->value.version;
     }
     if (version == 0) continue;
     const std::lock_guard lock(mutex_);
-    kept_[job.spec().request] = {version, generation, job.tokenCount(), false, Instant{}};
+    records_[job.spec().request] = {version, generation, job.tokenCount(), false, Instant{}};
     return true;
   }
   return false;
@@ -59,24 +60,25 @@
 
 void JobRecords::noteHandOver(const Job& job, const DaemonId& peer) {
   const std::string key = requestKey(job.spec().request);
-  Kept kept;
+  RecordState recordState;
   {
     const std::lock_guard lock(mutex_);
-    const auto it = kept_.find(job.spec().request);
-    if (it != kept_.end()) kept = it->second;
-    kept_.erase(job.spec().request);
+    const auto it = records_.find(job.spec().request);
+    if (it != records_.end()) recordState = it->second;
+    records_.erase(job.spec().request);
   }
-  HandOverRecord record = job.record(peer, kept.generation + 1);
+  HandOverRecord record = job.record(peer, recordState.generation + 1);
   record.state = JobState::running;
   context_.metrics.add("hallchute_platform_calls_total", "kind=\"job-write\"");
-  const auto reply = context_.platform.write(key, handOverText(record), kept.version);
+  const auto reply = context_.platform.write(key, handOverText(record), recordState.version);
   if (std::holds_alternative<Done<std::uint64_t>>(reply)) return;
-  logLine(LogLevel::warning, "the hand-over of " + job.spec().request.str() + " has no record");
+  logLine(LogLevel::warning,
+          "the hand-over of request " + job.spec().request.str() + " could not be recorded");
 }
 
 void JobRecords::takeOverSoon(const RequestId& request) {
   const std::lock_guard lock(mutex_);
-  toTakeOver_.push_back(request);
+  pendingTakeOvers_.push_back(request);
 }
 
 void JobRecords::takeOver(const RequestId& request) {
@@ -95,73 +97,74 @@
 }
 
 void JobRecords::checkpoint() {
-  std::vector<RequestId> taken;
+  std::vector<RequestId> requests;
   {
     const std::lock_guard lock(mutex_);
-    taken.swap(toTakeOver_);
+    requests.swap(pendingTakeOvers_);
   }
-  for (const RequestId& request : taken) takeOver(request);
-  std::map<RequestId, Kept> kept;
+  for (const RequestId& request : requests) takeOver(request);
+  std::map<RequestId, RecordState> records;
   {
     const std::lock_guard lock(mutex_);
-    kept = kept_;
+    records = records_;
   }
-  for (auto& [request, state] : kept) {
+  for (auto& [request, recordState] : records) {
     const JobPtr job = context_.jobs.find(request);
-    const bool keep = job != nullptr && job->stage() != JobStage::handedOver &&
-                      (save(*job, state) && !state.savedEnd);
+    const bool stillHeld = job != nullptr && job->stage() != JobStage::handedOver &&
+                           (save(*job, recordState) && !recordState.savedFinal);
     const std::lock_guard lock(mutex_);
-    if (keep) {
-      kept_[request] = state;
+    if (stillHeld) {
+      records_[request] = recordState;
     } else {
-      kept_.erase(request);
+      records_.erase(request);
     }
   }
 }
 
-/// \returns false once the record is another daemon's.
-bool JobRecords::save(const Job& job, Kept& kept) {
+/// \returns false once another daemon holds the record.
+bool JobRecords::save(const Job& job, RecordState& recordState) {
   const std::size_t tokens = job.tokenCount();
   const bool ended = hasEnded(job.stage());
   const Instant now = clockNow();
-  const bool due = tokens > kept.savedTokens && now - kept.savedAt >= kSaveEvery;
+  const bool due =
+      tokens > recordState.savedTokens && now - recordState.savedAt >= kCheckpointInterval;
   if (!due && !ended) return true;
-  kept.savedAt = now;
+  recordState.savedAt = now;
   const std::string key = requestKey(job.spec().request);
   context_.metrics.add("hallchute_platform_calls_total", "kind=\"job-write\"");
   const auto reply = context_.platform.write(
-      key, handOverText(job.record(context_.daemon, kept.generation)), kept.version);
+      key, handOverText(job.record(context_.daemon, recordState.generation)), recordState.version);
   if (const auto* done = std::get_if<Done<std::uint64_t>>(&reply)) {
-    kept.version = done->value;
-    kept.savedTokens = tokens;
-    kept.savedEnd = ended;
+    recordState.version = done->value;
+    recordState.savedTokens = tokens;
+    recordState.savedFinal = ended;
     return true;
   }
   const auto* refused = std::get_if<Refused>(&reply);
   if (refused != nullptr && refused->reason != PlatformRefusal::conflict) return true;
-  // A lost reply or another holder: the record tells which.
+  // Either the reply was lost or another daemon is the holder; read the record to find out.
   const auto read = context_.platform.read(key);
   const auto* found = std::get_if<Done<StoredObject>>(&read);
   if (found == nullptr) return true;
   Findings findings;
   const HandOverRecord record = parseHandOver(found->value.value, findings);
-  if (record.generation > kept.generation) {
+  if (record.generation > recordState.generation) {
     logLine(LogLevel::warning,
-            job.spec().request.str() + " was taken on by " + record.holder.str());
+            job.spec().request.str() + " was taken over and now runs on " + record.holder.str());
     return false;
   }
-  kept.version = found->value.version;
+  recordState.version = found->value.version;
   return true;
 }
 
-bool JobRecords::holderIsGone(const HandOverRecord& record, Instant now) {
+bool JobRecords::isHolderGone(const HandOverRecord& record, Instant now) {
   if (record.holder == context_.daemon) return false;
   if (context_.mayBeAlive(record.holder)) {
-    goneSince_.erase(record.holder);
+    holderMissingSince_.erase(record.holder);
     return false;
   }
-  const Instant since = goneSince_.try_emplace(record.holder, now).first->second;
-  return now - since >= kGoneFor;
+  const Instant since = holderMissingSince_.try_emplace(record.holder, now).first->second;
+  return now - since >= kHolderTimeout;
 }
 
 bool JobRecords::claim(HandOverRecord& record, std::uint64_t version) {
@@ -172,7 +175,8 @@
   const auto* done = std::get_if<Done<std::uint64_t>>(&reply);
   if (done == nullptr) return false;
   const std::lock_guard lock(mutex_);
-  kept_[record.request] = {done->value, record.generation, record.tokens.size(), false, Instant{}};
+  records_[record.request] = {done->value, record.generation, record.tokens.size(), false,
+                              Instant{}};
   return true;
 }
 
@@ -181,7 +185,7 @@
   std::string after;
   for (;;) {
     context_.metrics.add("hallchute_platform_calls_total", "kind=\"job-list\"");
-    const auto reply = context_.platform.list(kRequestPrefix, after, kPage);
+    const auto reply = context_.platform.list(kRequestPrefix, after, kListPageSize);
     const auto* done = std::get_if<Done<ObjectList>>(&reply);
     if (done == nullptr) return claimed;
     context_.health.noteAnswer(now);
@@ -190,10 +194,10 @@
       Findings findings;
       HandOverRecord record = parseHandOver(object.value, findings);
       if (!findings.empty() || record.state != JobState::running) continue;
-      if (context_.jobs.find(record.request) != nullptr || !holderIsGone(record, now)) continue;
+      if (context_.jobs.find(record.request) != nullptr || !isHolderGone(record, now)) continue;
       if (claim(record, object.version)) claimed.push_back(std::move(record));
     }
-    if (done->value.objects.size() < kPage) return claimed;
+    if (done->value.objects.size() < kListPageSize) return claimed;
   }
 }
 
@@ -218,7 +222,7 @@
 
 std::size_t JobRecords::unsaved() const {
   const std::lock_guard lock(mutex_);
-  return kept_.size();
+  return records_.size();
 }
 
 }  // namespace Hallchute
--- a/Hallchute/src/Daemon/JobRecords.h
+++ b/Hallchute/src/Daemon/JobRecords.h
@@ -23,50 +23,53 @@
 using JobPtr = std::shared_ptr<Job>;
 struct TrafficContext;
 
-/// \brief Keeps the platform's records of requests that must outlive their daemon. Any thread.
+/// \brief Stores records on the platform of requests that must survive the failure of their daemon.
 /// \ingroup Daemon
 ///
-/// The record names its holder. Another daemon takes the request on by a conditional write with a
-/// higher generation; the old holder's writes fail from then on and it lets the request go.
+/// Thread-safe. The record names its holder. Another daemon takes over the request by a conditional
+/// write with a higher generation. From then on the writes of the former holder fail, and it stops
+/// writing the record.
 class JobRecords {
  public:
   explicit JobRecords(TrafficContext& context);
 
-  /// \brief Creates the record of a job. \returns whether it surely stands.
+  /// \brief Creates the record of a job. \returns true if the record is known to be stored.
   bool create(const Job& job, std::uint64_t generation = 1);
-  /// \brief Writes the record of a job that goes to \p peer, in case the peer dies with it.
+  /// \brief Writes the record of a job handed over to \p peer, so that the job survives a failure
+  /// of the peer.
   void noteHandOver(const Job& job, const DaemonId& peer);
-  /// \brief Takes the record of a job over that another daemon handed here.
+  /// \brief Schedules the take-over of the record of a job that another daemon has handed over. The
+  /// next checkpoint() performs it.
   void takeOverSoon(const RequestId& request);
-  /// \brief Writes what has changed of the jobs that have a record.
+  /// \brief Performs scheduled take-overs and writes the records of changed jobs.
   void checkpoint();
-  /// \brief Claims running records whose holder is gone. \returns the jobs now held here.
+  /// \brief Claims records in state `running` whose holder is gone. \returns the claimed records.
   std::vector<HandOverRecord> claimOrphans(Instant now);
-  /// \brief The record of a request, if it can be read.
+  /// \brief Reads the record of a request from the platform.
   std::variant<HandOverRecord, Refusal> find(const RequestId& request);
-  /// \brief Records not yet written as they stand.
+  /// \brief Number of records whose final state is not yet written.
   std::size_t unsaved() const;
 
  private:
-  struct Kept {
+  struct RecordState {
     std::uint64_t version = 0;
     std::uint64_t generation = 1;
     std::size_t savedTokens = 0;
-    bool savedEnd = false;
+    bool savedFinal = false;
     Instant savedAt{};
   };
 
   void takeOver(const RequestId& request);
 
-  bool save(const Job& job, Kept& kept);
-  bool holderIsGone(const HandOverRecord& record, Instant now);
+  bool save(const Job& job, RecordState& recordState);
+  bool isHolderGone(const HandOverRecord& record, Instant now);
   bool claim(HandOverRecord& record, std::uint64_t version);
 
   TrafficContext& context_;
   mutable std::mutex mutex_;
-  std::map<RequestId, Kept> kept_;
-  std::vector<RequestId> toTakeOver_;
-  std::map<DaemonId, Instant> goneSince_;
+  std::map<RequestId, RecordState> records_;
+  std::vector<RequestId> pendingTakeOvers_;
+  std::map<DaemonId, Instant> holderMissingSince_;
 };
 
 }  // namespace Hallchute
