--- a/Hallchute/src/Daemon/JobRecords.cpp
+++ b/Hallchute/src/Daemon/JobRecords.cpp
@@ -108,13 +108,13 @@
     const std::lock_guard lock(mutex_);
     records = records_;
   }
-  for (auto& [request, recordState] : records) {
+  for (auto& [request, state] : records) {
     const JobPtr job = context_.jobs.find(request);
     const bool stillHeld = job != nullptr && job->stage() != JobStage::handedOver &&
-                           (save(*job, recordState) && !recordState.savedFinal);
+                           (save(*job, state) && !state.savedFinal);
     const std::lock_guard lock(mutex_);
     if (stillHeld) {
-      records_[request] = recordState;
+      records_[request] = state;
     } else {
       records_.erase(request);
     }
