--- a/Hallchute/src/Daemon/Job.cpp
+++ b/Hallchute/src/Daemon/Job.cpp
@@ -125,11 +125,11 @@
   stateChanged_.notify_all();
 }
 
-void Job::setCommand(JobOrder command) {
+void Job::setCommand(JobOrder newCommand) {
   {
     const std::lock_guard lock(mutex_);
     if (ended() || command_ == JobOrder::cancel) return;
-    command_ = command;
+    command_ = newCommand;
   }
   stateChanged_.notify_all();
 }
--- a/Hallchute/src/Daemon/Job.h
+++ b/Hallchute/src/Daemon/Job.h
@@ -96,7 +96,7 @@
   Instant endedAt() const;
 
  private:
-  void setCommand(JobOrder command);
+  void setCommand(JobOrder newCommand);
   void notify();
   bool ended() const;
 
