--- a/Hallchute/src/Daemon/Control.cpp
+++ b/Hallchute/src/Daemon/Control.cpp
@@ -102,7 +102,7 @@
   loop_.post([this, announcement] { spreadLeave(announcement); });
 }
 
-bool Control::noteLeaveAndSpread(const LeaveAnnouncement& announcement, Millis limit) {
+bool Control::noteLeaveAndAwaitAck(const LeaveAnnouncement& announcement, Millis limit) {
   noteLeave(announcement);
   const Instant until = clockNow() + limit;
   for (;;) {
@@ -161,13 +161,13 @@
   }
 }
 
-void Control::learnChange(const SettingsChange& change) {
+void Control::applyChange(const SettingsChange& change) {
   loop_.call([this, change] {
     if (changes_.add(change)) publishSettings();
   });
 }
 
-void Control::learnSnapshot(std::uint64_t revision, const JsonObject& json) {
+void Control::applySnapshot(std::uint64_t revision, const JsonObject& json) {
   loop_.call([this, revision, json] {
     if (changes_.startFrom(revision, json)) publishSettings();
   });
@@ -182,7 +182,7 @@
           "settings revision " + std::to_string(changes_.revision()) + " is in force");
 }
 
-void Control::learnHosts(const HostList& hosts) {
+void Control::updateHosts(const HostList& hosts) {
   loop_.call([this, hosts] { applyHosts(hosts); });
 }
 
@@ -227,7 +227,7 @@
   return lives;
 }
 
-bool Control::hasDuty(std::string_view duty, std::size_t first) {
+bool Control::isResponsibleFor(std::string_view duty, std::size_t first) {
   bool has = false;
   loop_.call([&] {
     const MemberStatus& self = membership_.self();
--- a/Hallchute/src/Daemon/Drain.cpp
+++ b/Hallchute/src/Daemon/Drain.cpp
@@ -81,7 +81,7 @@
   const Instant until = clockNow() + kLastWords;
   for (;;) {
     services_.records.checkpoint();
-    const bool saved = services_.keeper.flush() == 0 && services_.records.unsaved() == 0;
+    const bool saved = services_.onceRecords.flush() == 0 && services_.records.unsaved() == 0;
     if ((saved && server_.connections() == 0) || clockNow() >= until) return;
     std::this_thread::sleep_for(kPoll);
   }
--- a/Hallchute/src/Daemon/RequestHandler.cpp
+++ b/Hallchute/src/Daemon/RequestHandler.cpp
@@ -32,14 +32,14 @@
 
 void RequestHandler::handleRequest(Poco::Net::HTTPServerRequest& request,
                                    Poco::Net::HTTPServerResponse& response) {
-  sendWithoutDelay(request);
+  disableNagle(request);
   response.set("Hallchute-Request", id_.str());
   if (const auto refusal = handle(request, response)) sendProblem(response, *refusal, id_.str());
 }
 
 std::optional<Refusal> RequestHandler::handle(const Poco::Net::HTTPServerRequest& request,
                                               Poco::Net::HTTPServerResponse& response) {
-  const auto caller = authorise(request, services_);
+  const auto caller = authenticate(request, services_);
   if (const auto* refusal = std::get_if<Refusal>(&caller)) return *refusal;
   const Found found = find(std::get<Caller>(caller).organisation->name);
   if (const auto* refusal = std::get_if<Refusal>(&found)) return *refusal;
@@ -57,7 +57,7 @@
   if (streamed || request.has("Last-Event-ID")) {
     writer.stream(std::strtoull(request.get("Last-Event-ID", "0").c_str(), nullptr, 10));
   } else {
-    writer.whole();
+    writer.writeDocument();
   }
   job->detach(clockNow());
   return std::nullopt;
