--- a/Hallchute/src/Daemon/Control.cpp
+++ b/Hallchute/src/Daemon/Control.cpp
@@ -109,7 +109,7 @@
   const Instant until = clockNow() + limit;
   for (;;) {
     bool acknowledged = false;
-    loop_.call([&] { acknowledged = gossip_.wasSpread(announcement.upstream); });
+    loop_.call([&] { acknowledged = gossip_.isLeaveAcknowledged(announcement.upstream); });
     if (acknowledged || clockNow() >= until) return acknowledged;
     std::this_thread::sleep_for(kAcknowledgementPollInterval);
   }
@@ -138,7 +138,7 @@
   std::map<UpstreamId, std::vector<JobPtr>> leaving;
   for (const JobPtr& job : jobs_.running()) {
     const UpstreamInfo* info = directory_.find(job->upstream());
-    if (info != nullptr && info->leavesAt && job->order() == JobOrder::none) {
+    if (info != nullptr && info->leavesAt && job->command() == JobCommand::none) {
       leaving[info->id].push_back(job);
     }
   }
@@ -153,12 +153,12 @@
         static_cast<double>(tree.policy(PolicyKey::transferTokensPerSecond, scope))};
     std::vector<RunningStream> streams;
     for (std::size_t i = 0; i < jobs.size(); ++i) {
-      streams.push_back(jobs[i]->streamFacts(now));
+      streams.push_back(jobs[i]->migrationInput(now));
       streams.back().stream = i;
     }
     for (const StreamMigration& planned : planMigrations(streams, window)) {
       if (std::holds_alternative<FinishInPlace>(planned.migration)) continue;
-      jobs[planned.stream]->orderMove(planned.migration);
+      jobs[planned.stream]->requestMove(planned.migration);
     }
   }
 }
@@ -216,7 +216,7 @@
     view.others = membership_.others();
     view.upstreams = directory_.all();
     view.shards = owners_.loads(clockNow());
-    view.grantsHeld = broker_.held();
+    view.grantsHeld = broker_.activeCount();
     view.peerBytesSent = transport_.bytesSent();
     view.peerBytesReceived = transport_.bytesReceived();
   });
--- a/Hallchute/src/Daemon/Daemon.cpp
+++ b/Hallchute/src/Daemon/Daemon.cpp
@@ -103,7 +103,7 @@
     limit = *stopLimit_;
   }
   Drain(services_, control_, callerServer_).run(limit, stopNow_);
-  for (const JobPtr& job : jobs_.running()) job->orderCancel();
+  for (const JobPtr& job : jobs_.running()) job->requestCancel();
   starter_.waitIdle(limit + kReclaimMargin);
   maintenanceRunning_ = false;
   maintenanceThread_.join();
--- a/Hallchute/src/Daemon/Gossip.h
+++ b/Hallchute/src/Daemon/Gossip.h
@@ -30,7 +30,7 @@
   /// \brief Starts the periodic ticks of Membership.
   void start();
   /// \brief Whether a peer has acknowledged a message that announced the leave of \p upstream.
-  bool wasSpread(const UpstreamId& upstream) const {
+  bool isLeaveAcknowledged(const UpstreamId& upstream) const {
     return acknowledgedLeaves_.contains(upstream);
   }
   void perform(const std::vector<MembershipAction>& actions);
--- a/Hallchute/src/Daemon/GrantBroker.cpp
+++ b/Hallchute/src/Daemon/GrantBroker.cpp
@@ -261,7 +261,7 @@
                             RunOutcome::notRun, kNoUpstreamRetryAfter});
     return;
   }
-  auto hold = std::make_unique<GrantHold>(
+  auto hold = std::make_unique<ScopedGrant>(
       upstream, upstreamInfo->host.address,
       [this, key = active->key] { loop_.post([this, key] { noteFirstToken(key); }); },
       [this, key = active->key](GrantEnd end) {
--- a/Hallchute/src/Daemon/GrantBroker.h
+++ b/Hallchute/src/Daemon/GrantBroker.h
@@ -48,7 +48,7 @@
   /// \brief Reports the active grants of shards whose owner has changed to their new owner.
   void onOwnersChanged();
   /// \brief Number of active grants of this daemon.
-  std::size_t held() const { return activeGrants_.size(); }
+  std::size_t activeCount() const { return activeGrants_.size(); }
 
  private:
   struct PendingRequest;
--- a/Hallchute/src/Daemon/GrantSpec.cpp
+++ b/Hallchute/src/Daemon/GrantSpec.cpp
@@ -5,18 +5,18 @@
 
 namespace Hallchute {
 
-GrantHold::GrantHold(UpstreamId upstream, std::string address, FirstTokenCallback onFirstToken,
-                     ReleaseCallback onRelease)
+ScopedGrant::ScopedGrant(UpstreamId upstream, std::string address, FirstTokenCallback onFirstToken,
+                         ReleaseCallback onRelease)
     : upstream_(std::move(upstream)),
       address_(std::move(address)),
       onFirstToken_(std::move(onFirstToken)),
       onRelease_(std::move(onRelease)) {}
 
-GrantHold::~GrantHold() {
+ScopedGrant::~ScopedGrant() {
   end(GrantEnd::cancelled);
 }
 
-void GrantHold::end(GrantEnd end) {
+void ScopedGrant::end(GrantEnd end) {
   const ReleaseCallback onRelease = std::move(onRelease_);
   onRelease_ = nullptr;
   if (onRelease) onRelease(end);
--- a/Hallchute/src/Daemon/GrantSpec.h
+++ b/Hallchute/src/Daemon/GrantSpec.h
@@ -26,16 +26,16 @@
 
 /// \brief RAII holder of a granted slot at an upstream, released on destruction. Any thread.
 /// \ingroup Daemon
-class GrantHold {
+class ScopedGrant {
  public:
   using ReleaseCallback = std::function<void(GrantEnd)>;
   using FirstTokenCallback = std::function<void()>;
 
-  GrantHold(UpstreamId upstream, std::string address, FirstTokenCallback onFirstToken,
-            ReleaseCallback onRelease);
-  ~GrantHold();
-  GrantHold(const GrantHold&) = delete;
-  GrantHold& operator=(const GrantHold&) = delete;
+  ScopedGrant(UpstreamId upstream, std::string address, FirstTokenCallback onFirstToken,
+              ReleaseCallback onRelease);
+  ~ScopedGrant();
+  ScopedGrant(const ScopedGrant&) = delete;
+  ScopedGrant& operator=(const ScopedGrant&) = delete;
 
   const UpstreamId& upstream() const { return upstream_; }
   const std::string& address() const { return address_; }
@@ -54,7 +54,7 @@
 
 /// \brief A granted slot, or the reason why none was granted.
 /// \ingroup Daemon
-using GrantOutcome = std::variant<std::unique_ptr<GrantHold>, Refusal>;
+using GrantOutcome = std::variant<std::unique_ptr<ScopedGrant>, Refusal>;
 
 }  // namespace Hallchute
 
--- a/Hallchute/src/Daemon/Job.cpp
+++ b/Hallchute/src/Daemon/Job.cpp
@@ -101,22 +101,22 @@
   notify();
 }
 
-JobOrder Job::pauseFor(Millis time) {
+JobCommand Job::waitForCommand(Millis time) {
   std::unique_lock lock(mutex_);
-  stateChanged_.wait_for(lock, time, [&] { return command_ != JobOrder::none; });
+  stateChanged_.wait_for(lock, time, [&] { return command_ != JobCommand::none; });
   return command_;
 }
 
 Migration Job::takeMove() {
   const std::lock_guard lock(mutex_);
-  if (command_ == JobOrder::move) command_ = JobOrder::none;
+  if (command_ == JobCommand::move) command_ = JobCommand::none;
   // The job no longer runs at this upstream; without an upstream it gets no second `move` command
   // for the same leave.
   upstream_ = UpstreamId();
   return migration_;
 }
 
-void Job::notePaused() {
+void Job::markPaused() {
   {
     const std::lock_guard lock(mutex_);
     paused_ = true;
@@ -125,33 +125,33 @@
   stateChanged_.notify_all();
 }
 
-void Job::setCommand(JobOrder newCommand) {
+void Job::setCommand(JobCommand newCommand) {
   {
     const std::lock_guard lock(mutex_);
-    if (ended() || command_ == JobOrder::cancel) return;
+    if (ended() || command_ == JobCommand::cancel) return;
     command_ = newCommand;
   }
   stateChanged_.notify_all();
 }
 
-void Job::orderMove(const Migration& migration) {
+void Job::requestMove(const Migration& migration) {
   {
     const std::lock_guard lock(mutex_);
-    if (command_ != JobOrder::none) return;
+    if (command_ != JobCommand::none) return;
     migration_ = migration;
   }
-  setCommand(JobOrder::move);
+  setCommand(JobCommand::move);
 }
 
-void Job::orderPause() {
-  setCommand(JobOrder::pause);
+void Job::requestPause() {
+  setCommand(JobCommand::pause);
 }
 
-void Job::orderCancel() {
-  setCommand(JobOrder::cancel);
+void Job::requestCancel() {
+  setCommand(JobCommand::cancel);
 }
 
-bool Job::waitPaused(Millis limit) {
+bool Job::waitUntilPaused(Millis limit) {
   std::unique_lock lock(mutex_);
   stateChanged_.wait_for(lock, limit, [&] { return paused_ || ended(); });
   return paused_ && !ended();
@@ -160,7 +160,7 @@
 void Job::resume() {
   const std::lock_guard lock(mutex_);
   paused_ = false;
-  if (command_ == JobOrder::pause) command_ = JobOrder::none;
+  if (command_ == JobCommand::pause) command_ = JobCommand::none;
 }
 
 void Job::markHandedOver(const DaemonId& peer) {
@@ -188,7 +188,7 @@
   return handedOverTo_;
 }
 
-RunningStream Job::streamFacts(Instant now) const {
+RunningStream Job::migrationInput(Instant now) const {
   const std::lock_guard lock(mutex_);
   RunningStream stream;
   const std::size_t produced = answer_.tokens().size();
--- a/Hallchute/src/Daemon/Job.h
+++ b/Hallchute/src/Daemon/Job.h
@@ -27,7 +27,7 @@
 
 /// \brief A request to the runner of a job to stop its current attempt.
 /// \ingroup Daemon
-enum class JobOrder { none, move, pause, cancel };
+enum class JobCommand { none, move, pause, cancel };
 
 /// \brief The part of an answer from a given token on, as returned to a reader.
 /// \ingroup Daemon
@@ -58,22 +58,22 @@
   void finish();
   void refuse(Refusal refusal);
   /// \brief Waits until a command is pending, at most for \p time. \returns the pending command.
-  JobOrder pauseFor(Millis time);
-  JobOrder order() const { return command_.load(); }
+  JobCommand waitForCommand(Millis time);
+  JobCommand command() const { return command_.load(); }
   /// \brief Clears a pending `move` command. \returns the migration to perform.
   Migration takeMove();
   /// \brief Reports that the runner has stopped because of a `pause` command.
-  void notePaused();
+  void markPaused();
 
   /// \brief Appends tokens of a job that runs on another daemon and is only read here.
   void mirror(const std::vector<std::string>& tokens);
 
   // For Control and Drain.
-  void orderMove(const Migration& migration);
-  void orderPause();
-  void orderCancel();
+  void requestMove(const Migration& migration);
+  void requestPause();
+  void requestCancel();
   /// \brief Waits until the runner has paused. \returns false on timeout or if the job has ended.
-  bool waitPaused(Millis limit);
+  bool waitUntilPaused(Millis limit);
   /// \brief Clears the pause, so that the job can be run again.
   void resume();
   void markHandedOver(const DaemonId& peer);
@@ -81,7 +81,7 @@
   JobStage stage() const;
   std::optional<DaemonId> handedOverTo() const;
   /// \brief The input of planMigrations() for this job.
-  RunningStream streamFacts(Instant now) const;
+  RunningStream migrationInput(Instant now) const;
   HandOverRecord record(const DaemonId& holder, std::uint64_t generation) const;
 
   // For readers.
@@ -96,7 +96,7 @@
   Instant endedAt() const;
 
  private:
-  void setCommand(JobOrder newCommand);
+  void setCommand(JobCommand newCommand);
   void notify();
   bool ended() const;
 
@@ -115,7 +115,7 @@
   Instant endedAt_{};
   Instant detachedAt_{};
   bool paused_ = false;
-  std::atomic<JobOrder> command_{JobOrder::none};
+  std::atomic<JobCommand> command_{JobCommand::none};
   std::atomic<int> readers_{0};
 };
 
--- a/Hallchute/src/Daemon/JobFactory.cpp
+++ b/Hallchute/src/Daemon/JobFactory.cpp
@@ -11,7 +11,7 @@
 namespace Hallchute {
 namespace {
 
-std::uint64_t affinityOf(const GenerationWish& parameters, const PrefixBlocks& blocks) {
+std::uint64_t affinityOf(const JobParameters& parameters, const PrefixBlocks& blocks) {
   const std::uint64_t seed = stableHash(parameters.organisation->name.str());
   if (!parameters.session.empty()) return stableHash(parameters.session, seed);
   if (!blocks.hashes.empty()) return blocks.hashes.front() ^ seed;
@@ -20,7 +20,7 @@
 
 }  // namespace
 
-JobSpec makeJobSpec(const GenerationWish& parameters, const SettingsTree& tree,
+JobSpec makeJobSpec(const JobParameters& parameters, const SettingsTree& tree,
                     const DomainName& domain) {
   const PolicyScope scope{domain, parameters.service, parameters.organisation->name};
   const PrefixBlocks blocks = prefixBlocks(parameters.prompt);
@@ -57,7 +57,7 @@
     workClass = it->second;
   }
   workClass.name = record.workClass;
-  GenerationWish parameters;
+  JobParameters parameters;
   parameters.request = record.request;
   parameters.organisation = &organisation;
   parameters.workClass = &workClass;
--- a/Hallchute/src/Daemon/JobFactory.h
+++ b/Hallchute/src/Daemon/JobFactory.h
@@ -18,7 +18,7 @@
 
 /// \brief A validated generation request, the input of makeJobSpec().
 /// \ingroup Daemon
-struct GenerationWish {
+struct JobParameters {
   RequestId request;
   const Organisation* organisation = nullptr;
   const WorkClass* workClass = nullptr;
@@ -34,7 +34,7 @@
 
 /// \brief Builds the specification of a job with the policy values in effect.
 /// \ingroup Daemon
-JobSpec makeJobSpec(const GenerationWish& parameters, const SettingsTree& tree,
+JobSpec makeJobSpec(const JobParameters& parameters, const SettingsTree& tree,
                     const DomainName& domain);
 
 /// \brief Creates a job that resumes from the record of another daemon.
--- a/Hallchute/src/Daemon/JobRecords.cpp
+++ b/Hallchute/src/Daemon/JobRecords.cpp
@@ -58,7 +58,7 @@
   return false;
 }
 
-void JobRecords::noteHandOver(const Job& job, const DaemonId& peer) {
+void JobRecords::recordHandOver(const Job& job, const DaemonId& peer) {
   const std::string key = requestKey(job.spec().request);
   RecordState recordState;
   {
@@ -76,7 +76,7 @@
           "the hand-over of request " + job.spec().request.str() + " could not be recorded");
 }
 
-void JobRecords::takeOverSoon(const RequestId& request) {
+void JobRecords::scheduleTakeOver(const RequestId& request) {
   const std::lock_guard lock(mutex_);
   pendingTakeOvers_.push_back(request);
 }
@@ -93,7 +93,7 @@
   } else if (create(*job)) {
     return;
   }
-  takeOverSoon(request);
+  scheduleTakeOver(request);
 }
 
 void JobRecords::checkpoint() {
@@ -220,7 +220,7 @@
                  RunOutcome::unknown, kPlatformRetryAfter};
 }
 
-std::size_t JobRecords::unsaved() const {
+std::size_t JobRecords::unsavedCount() const {
   const std::lock_guard lock(mutex_);
   return records_.size();
 }
--- a/Hallchute/src/Daemon/JobRecords.h
+++ b/Hallchute/src/Daemon/JobRecords.h
@@ -37,10 +37,10 @@
   bool create(const Job& job, std::uint64_t generation = 1);
   /// \brief Writes the record of a job handed over to \p peer, so that the job survives a failure
   /// of the peer.
-  void noteHandOver(const Job& job, const DaemonId& peer);
+  void recordHandOver(const Job& job, const DaemonId& peer);
   /// \brief Schedules the take-over of the record of a job that another daemon has handed over. The
   /// next checkpoint() performs it.
-  void takeOverSoon(const RequestId& request);
+  void scheduleTakeOver(const RequestId& request);
   /// \brief Performs scheduled take-overs and writes the records of changed jobs.
   void checkpoint();
   /// \brief Claims records in state `running` whose holder is gone. \returns the claimed records.
@@ -48,7 +48,7 @@
   /// \brief Reads the record of a request from the platform.
   std::variant<HandOverRecord, Refusal> find(const RequestId& request);
   /// \brief Number of records whose final state is not yet written.
-  std::size_t unsaved() const;
+  std::size_t unsavedCount() const;
 
  private:
   struct RecordState {
--- a/Hallchute/src/Daemon/PlainRunner.h
+++ b/Hallchute/src/Daemon/PlainRunner.h
@@ -49,8 +49,8 @@
   PlainOutcome runRepeatable();
   PlainOutcome runOnce();
   GrantOutcome acquire();
-  PlainResult callAt(GrantHold& hold);
-  OnceEvent dispatchOnce(std::unique_ptr<GrantHold> hold);
+  PlainResult callAt(ScopedGrant& hold);
+  OnceEvent dispatchOnce(std::unique_ptr<ScopedGrant> hold);
   void noteLeaving(const UpstreamId& upstream);
   Millis timeLeft() const;
 
