--- a/Hallchute/src/Daemon/OnceKeeper.cpp
+++ b/Hallchute/src/Daemon/OnceKeeper.cpp
@@ -53,44 +53,44 @@
 
 void OnceKeeper::storeLater(const std::string& key, const OnceRecord& record) {
   const std::lock_guard lock(mutex_);
-  waiting_.push_back({key, record});
-  if (waiting_.size() <= kMaxWaiting) return;
-  waiting_.pop_front();
+  pending_.push_back({key, record});
+  if (pending_.size() <= kMaxPending) return;
+  pending_.pop_front();
   context_.metrics.add("hallchute_once_outcomes_lost_total", "");
-  logLine(LogLevel::error, "an outcome that could not be stored was let go");
+  logLine(LogLevel::error, "dropped the oldest unstored outcome: too many outcomes are pending");
 }
 
 std::size_t OnceKeeper::flush() {
-  std::deque<Waiting> tries;
+  std::deque<PendingRecord> batch;
   {
     const std::lock_guard lock(mutex_);
-    tries.swap(waiting_);
+    batch.swap(pending_);
   }
-  bool reached = true;
-  std::deque<Waiting> left;
-  for (Waiting& waiting : tries) {
-    reached = reached && store(waiting);
-    if (!reached) left.push_back(std::move(waiting));
+  bool allStored = true;
+  std::deque<PendingRecord> remaining;
+  for (PendingRecord& pending : batch) {
+    allStored = allStored && storePending(pending);
+    if (!allStored) remaining.push_back(std::move(pending));
   }
   const std::lock_guard lock(mutex_);
-  waiting_.insert(waiting_.begin(), left.begin(), left.end());
-  context_.metrics.set("hallchute_once_outcomes_waiting", "", static_cast<double>(waiting_.size()));
-  return waiting_.size();
+  pending_.insert(pending_.begin(), remaining.begin(), remaining.end());
+  context_.metrics.set("hallchute_once_outcomes_waiting", "", static_cast<double>(pending_.size()));
+  return pending_.size();
 }
 
-/// \returns whether the record stands, or is another attempt's by now.
-bool OnceKeeper::store(const Waiting& waiting) {
-  const OnceEvent event = read(waiting.key);
+/// \returns true if the record is stored, needs no storing, or now belongs to another attempt.
+bool OnceKeeper::storePending(const PendingRecord& pending) {
+  const OnceEvent event = read(pending.key);
   if (std::holds_alternative<RecordAbsent>(event)) {
-    // The creation never took effect. An abandoned attempt needs no record; an outcome does.
-    if (waiting.record.state == OnceState::abandoned) return true;
-    return std::holds_alternative<RecordWritten>(write(waiting.key, waiting.record, 0));
+    // The creation never took effect. An abandoned attempt needs no record, but an outcome does.
+    if (pending.record.state == OnceState::abandoned) return true;
+    return std::holds_alternative<RecordWritten>(write(pending.key, pending.record, 0));
   }
   const auto* found = std::get_if<RecordFound>(&event);
   if (found == nullptr) return false;
-  const bool mine = found->record.attempt == waiting.record.attempt;
-  if (!mine || found->record.state == waiting.record.state) return true;
-  return std::holds_alternative<RecordWritten>(write(waiting.key, waiting.record, found->version));
+  const bool sameAttempt = found->record.attempt == pending.record.attempt;
+  if (!sameAttempt || found->record.state == pending.record.state) return true;
+  return std::holds_alternative<RecordWritten>(write(pending.key, pending.record, found->version));
 }
 
 }  // namespace Hallchute
--- a/Hallchute/src/Daemon/OnceKeeper.h
+++ b/Hallchute/src/Daemon/OnceKeeper.h
@@ -16,35 +16,36 @@
 
 struct TrafficContext;
 
-/// \brief Reads and writes the records of work that must not repeat. Any thread.
+/// \brief Reads and writes the records of requests that must run at most once. Thread-safe.
 /// \ingroup Daemon
 ///
-/// Outcomes that could not be stored wait here, at most kMaxWaiting of them, and are tried again.
-/// If this daemon dies first, a retry of the caller is told that the outcome is unknown, which is
-/// true.
+/// Outcomes that could not be stored are kept in memory, at most kMaxPending of them, and retried
+/// by flush(); beyond the limit the oldest is dropped. If the daemon dies before one is stored, a
+/// retry by the caller is correctly answered with an unknown outcome.
 class OnceKeeper {
  public:
-  static constexpr std::size_t kMaxWaiting = 10'000;
+  static constexpr std::size_t kMaxPending = 10'000;
 
   explicit OnceKeeper(TrafficContext& context);
   OnceEvent write(const std::string& key, const OnceRecord& record, std::uint64_t ifVersion);
   OnceEvent read(const std::string& key);
-  /// \brief Stores \p record when the platform lets it.
+  /// \brief Queues \p record to be stored by flush().
   void storeLater(const std::string& key, const OnceRecord& record);
-  /// \brief Tries what waits. \returns how much still does.
+  /// \brief Retries the pending records in order until one fails.
+  /// \returns the number of records still pending.
   std::size_t flush();
 
  private:
-  struct Waiting {
+  struct PendingRecord {
     std::string key;
     OnceRecord record;
   };
 
-  bool store(const Waiting& waiting);
+  bool storePending(const PendingRecord& pending);
 
   TrafficContext& context_;
   std::mutex mutex_;
-  std::deque<Waiting> waiting_;
+  std::deque<PendingRecord> pending_;
 };
 
 }  // namespace Hallchute
--- a/Hallchute/src/Daemon/PlainHandler.cpp
+++ b/Hallchute/src/Daemon/PlainHandler.cpp
@@ -20,22 +20,23 @@
 namespace Hallchute {
 namespace {
 
-constexpr std::array<const char*, 3> kPassedOn{"Accept", "Accept-Language", "Idempotency-Key"};
-constexpr std::size_t kMaxKey = 255;
+constexpr std::array<const char*, 3> kForwardedHeaders{"Accept", "Accept-Language",
+                                                       "Idempotency-Key"};
+constexpr std::size_t kMaxIdempotencyKeyBytes = 255;
 
-/// Counts a call while it runs.
-class Counted {
+/// Counts a call as in flight for the lifetime of the object.
+class ScopedCallCount {
  public:
-  explicit Counted(std::atomic<int>& count) : count_(count) { ++count_; }
-  ~Counted() { --count_; }
-  Counted(const Counted&) = delete;
-  Counted& operator=(const Counted&) = delete;
+  explicit ScopedCallCount(std::atomic<int>& count) : count_(count) { ++count_; }
+  ~ScopedCallCount() { --count_; }
+  ScopedCallCount(const ScopedCallCount&) = delete;
+  ScopedCallCount& operator=(const ScopedCallCount&) = delete;
 
  private:
   std::atomic<int>& count_;
 };
 
-void sendAnswer(Poco::Net::HTTPServerResponse& response, const PlainAnswer& answer) {
+void sendServiceAnswer(Poco::Net::HTTPServerResponse& response, const PlainAnswer& answer) {
   response.setStatusAndReason(static_cast<Poco::Net::HTTPResponse::HTTPStatus>(answer.status));
   if (!answer.contentType.empty()) response.setContentType(answer.contentType);
   if (answer.status < 200 || answer.status >= 300) response.set("Hallchute-Outcome", "ran");
@@ -46,16 +47,16 @@
 
 void PlainHandler::handleRequest(Poco::Net::HTTPServerRequest& request,
                                  Poco::Net::HTTPServerResponse& response) {
-  const Counted counted(services_.plainCalls);
+  const ScopedCallCount callCount(services_.plainCalls);
   sendWithoutDelay(request);
   request_ = services_.context.daemon.str() + "-" + randomName();
   const LogContext context("request", request_);
   response.set("Hallchute-Request", request_);
   if (services_.draining) response.setKeepAlive(false);
   const std::optional<Refusal> refusal = handle(request, response);
-  const std::string word = refusal ? std::string(reasonWord(refusal->reason)) : "served";
+  const std::string result = refusal ? std::string(reasonWord(refusal->reason)) : "served";
   services_.context.metrics.add("hallchute_requests_total",
-                                "kind=\"plain\",result=\"" + word + "\"");
+                                "kind=\"plain\",result=\"" + result + "\"");
   if (refusal) sendProblem(response, *refusal, request_);
 }
 
@@ -90,7 +91,7 @@
   job.workClass = workClass;
   job.idempotencyKey = request.get("Idempotency-Key", "");
   if (!workClass.repeatable &&
-      (job.idempotencyKey.empty() || job.idempotencyKey.size() > kMaxKey)) {
+      (job.idempotencyKey.empty() || job.idempotencyKey.size() > kMaxIdempotencyKeyBytes)) {
     return Refusal{RefusalReason::keyRequired,
                    "work that must not repeat needs an Idempotency-Key of 1 to 255 bytes",
                    RunOutcome::notRun, std::nullopt};
@@ -99,7 +100,7 @@
   if (job.call.contentType == Poco::Net::HTTPMessage::UNKNOWN_CONTENT_TYPE) {
     job.call.contentType.clear();
   }
-  for (const char* name : kPassedOn) {
+  for (const char* name : kForwardedHeaders) {
     if (request.has(name)) job.call.headers.emplace_back(name, request.get(name));
   }
   job.call.headers.emplace_back("Hallchute-Request", request_);
@@ -107,7 +108,7 @@
   job.queueLimit = Millis(tree.policy(PolicyKey::queueLimitMs, scope));
   const PlainOutcome outcome = PlainRunner(services_.context, services_.keeper, job).run();
   if (const auto* refusal = std::get_if<Refusal>(&outcome)) return *refusal;
-  sendAnswer(response, std::get<PlainAnswer>(outcome));
+  sendServiceAnswer(response, std::get<PlainAnswer>(outcome));
   return std::nullopt;
 }
 
--- a/Hallchute/src/Daemon/PlainHandler.h
+++ b/Hallchute/src/Daemon/PlainHandler.h
@@ -14,11 +14,11 @@
 
 namespace Hallchute {
 
-/// \brief Passes `/v1/services/{service}/…` on to a plain service.
+/// \brief Forwards requests for `/v1/services/{service}/…` to a plain service.
 /// \ingroup Daemon
 class PlainHandler final : public Poco::Net::HTTPRequestHandler {
  public:
-  /// \param target what the service is asked: path and query behind its name.
+  /// \param target the path and query sent to the service: the URI after the service's name.
   PlainHandler(CallerServices& services, std::string service, std::string target)
       : services_(services), service_(std::move(service)), target_(std::move(target)) {}
   void handleRequest(Poco::Net::HTTPServerRequest& request,
--- a/Hallchute/src/Daemon/PlainRunner.cpp
+++ b/Hallchute/src/Daemon/PlainRunner.cpp
@@ -22,19 +22,19 @@
 
 constexpr Millis kRetryAfter{500};
 constexpr double kPercent = 100;
-/// Size taken for a call when an owner weighs its upstreams' work.
-constexpr std::size_t kCallCost = 1;
+/// Plain calls have no token count: each adds the same load in the owner's routing costs.
+constexpr std::size_t kExpectedTokensPerCall = 1;
 
 }  // namespace
 
-PlainRunner::PlainRunner(TrafficContext& context, OnceKeeper& keeper, PlainJob job)
-    : context_(context), keeper_(keeper), job_(std::move(job)) {}
+PlainRunner::PlainRunner(TrafficContext& context, OnceKeeper& onceRecords, PlainJob job)
+    : context_(context), onceRecords_(onceRecords), job_(std::move(job)) {}
 
 PlainOutcome PlainRunner::run() {
   return job_.workClass.repeatable ? runRepeatable() : runOnce();
 }
 
-Millis PlainRunner::timeLeft() const {
+Millis PlainRunner::remainingTime() const {
   return std::chrono::duration_cast<Millis>(job_.deadline - clockNow());
 }
 
@@ -44,22 +44,22 @@
   spec.wanted.organisation = job_.organisation->name;
   spec.wanted.weight = static_cast<double>(job_.organisation->weight);
   spec.wanted.priority = job_.workClass.priority;
-  spec.wanted.expectedTokens = kCallCost;
-  spec.wanted.failedUpstreams = avoid_;
+  spec.wanted.expectedTokens = kExpectedTokensPerCall;
+  spec.wanted.failedUpstreams = excludedUpstreams_;
   spec.wanted.deadline = std::min(clockNow() + job_.queueLimit, job_.deadline);
   return context_.acquire(spec);
 }
 
-PlainResult PlainRunner::callAt(GrantHold& hold) {
+PlainResult PlainRunner::callUpstream(GrantHold& hold) {
   const PolicyScope scope{context_.domain, job_.service, job_.organisation->name};
   const Millis connectLimit(context_.settings.get()->tree.policy(PolicyKey::connectLimitMs, scope));
   PlainServiceHttp service(hold.address(), context_.ownIp, connectLimit);
-  return service.call(job_.call, std::max(Millis(1), timeLeft()));
+  return service.call(job_.call, std::max(Millis(1), remainingTime()));
 }
 
-void PlainRunner::noteLeaving(const UpstreamId& upstream) {
+void PlainRunner::reportLeaving(const UpstreamId& upstream) {
   context_.noteLeave({upstream, Millis(0), LeaveSource::upstream});
-  avoid_.push_back(upstream);
+  excludedUpstreams_.push_back(upstream);
 }
 
 PlainOutcome PlainRunner::runRepeatable() {
@@ -69,35 +69,35 @@
       static_cast<double>(settings->tree.policy(PolicyKey::retryBudgetPercent, scope));
   const auto maxAttempts = settings->tree.policy(PolicyKey::maxAttempts, scope);
   context_.budgets.recordFirstAttempt(job_.service, percent / kPercent);
-  Refusal last{RefusalReason::upstreamFailed, "", RunOutcome::notRun, kRetryAfter};
-  for (int attempt = 0; attempt < maxAttempts && timeLeft() > Millis(0); ++attempt) {
+  Refusal lastFailure{RefusalReason::upstreamFailed, "", RunOutcome::notRun, kRetryAfter};
+  for (int attempt = 0; attempt < maxAttempts && remainingTime() > Millis(0); ++attempt) {
     if (attempt > 0 && !context_.budgets.tryConsumeRetry(job_.service)) break;
     GrantOutcome grant = acquire();
     if (auto* refusal = std::get_if<Refusal>(&grant)) {
-      if (last.outcome != RunOutcome::notRun) refusal->outcome = last.outcome;
+      if (lastFailure.outcome != RunOutcome::notRun) refusal->outcome = lastFailure.outcome;
       return *refusal;
     }
     GrantHold& hold = *std::get<std::unique_ptr<GrantHold>>(grant);
-    const PlainResult result = callAt(hold);
+    const PlainResult result = callUpstream(hold);
     if (const auto* answer = std::get_if<PlainAnswer>(&result)) {
       if (!answer->leaving) {
         hold.end(GrantEnd::finished);
         return *answer;
       }
-      noteLeaving(hold.upstream());
+      reportLeaving(hold.upstream());
       continue;
     }
-    avoid_.push_back(hold.upstream());
-    if (const auto* never = std::get_if<PlainNeverSent>(&result)) {
+    excludedUpstreams_.push_back(hold.upstream());
+    if (const auto* neverSent = std::get_if<PlainNeverSent>(&result)) {
       hold.end(GrantEnd::connectFailed);
-      last.detail = never->detail;
+      lastFailure.detail = neverSent->detail;
     } else {
       hold.end(GrantEnd::broke);
-      last.detail = std::get<PlainMaybeSent>(result).detail;
-      last.outcome = RunOutcome::unknown;
+      lastFailure.detail = std::get<PlainMaybeSent>(result).detail;
+      lastFailure.outcome = RunOutcome::unknown;
     }
   }
-  return last;
+  return lastFailure;
 }
 
 PlainOutcome PlainRunner::runOnce() {
@@ -117,13 +117,13 @@
   for (;;) {
     OnceEvent event;
     if (const auto* write = std::get_if<WriteRecord>(&step)) {
-      event = keeper_.write(key, write->record, write->ifVersion);
+      event = onceRecords_.write(key, write->record, write->ifVersion);
     } else if (std::holds_alternative<ReadRecord>(step)) {
-      event = keeper_.read(key);
+      event = onceRecords_.read(key);
     } else if (std::holds_alternative<DispatchRequest>(step)) {
       event = dispatchOnce(std::move(hold));
     } else if (const auto* answer = std::get_if<AnswerWithRecord>(&step)) {
-      if (answer->storeLater) keeper_.storeLater(key, answer->record);
+      if (answer->storeLater) onceRecords_.storeLater(key, answer->record);
       if (answer->record.state != OnceState::done) return unknownOutcome(answer->record.body);
       return PlainAnswer{answer->record.status, answer->record.contentType, answer->record.body,
                          false};
@@ -132,7 +132,7 @@
       if (refuse.abandonLater) {
         OnceRecord abandoned = attempt.record();
         abandoned.state = OnceState::abandoned;
-        keeper_.storeLater(key, abandoned);
+        onceRecords_.storeLater(key, abandoned);
       }
       return refuse.refusal;
     }
@@ -140,27 +140,28 @@
   }
 }
 
-/// Sends the request at most once; goes to another upstream only where it surely was not sent.
+/// Sends the request at most once: tries another upstream only if no byte can have reached the
+/// previous one.
 OnceEvent PlainRunner::dispatchOnce(std::unique_ptr<GrantHold> hold) {
   for (;;) {
-    if (timeLeft() <= Millis(0))
+    if (remainingTime() <= Millis(0))
       return DispatchNeverSent{"requestLimitMs passed before it was sent"};
-    const PlainResult result = callAt(*hold);
+    const PlainResult result = callUpstream(*hold);
     if (const auto* answer = std::get_if<PlainAnswer>(&result); answer && !answer->leaving) {
       hold->end(GrantEnd::finished);
       return DispatchAnswered{answer->status, answer->contentType, answer->body};
     }
-    if (const auto* maybe = std::get_if<PlainMaybeSent>(&result)) {
+    if (const auto* maybeSent = std::get_if<PlainMaybeSent>(&result)) {
       hold->end(GrantEnd::broke);
-      return DispatchMaybeSent{maybe->detail};
+      return DispatchMaybeSent{maybeSent->detail};
     }
     std::string detail = "the service leaves";
-    if (const auto* never = std::get_if<PlainNeverSent>(&result)) {
-      detail = never->detail;
-      avoid_.push_back(hold->upstream());
+    if (const auto* neverSent = std::get_if<PlainNeverSent>(&result)) {
+      detail = neverSent->detail;
+      excludedUpstreams_.push_back(hold->upstream());
       hold->end(GrantEnd::connectFailed);
     } else {
-      noteLeaving(hold->upstream());
+      reportLeaving(hold->upstream());
     }
     if (!context_.budgets.tryConsumeRetry(job_.service)) return DispatchNeverSent{detail};
     GrantOutcome next = acquire();
--- a/Hallchute/src/Daemon/PlainRunner.h
+++ b/Hallchute/src/Daemon/PlainRunner.h
@@ -21,43 +21,44 @@
 class OnceKeeper;
 struct TrafficContext;
 
-/// \brief A call to a plain service that was let in.
+/// \brief An admitted call to a plain service.
 /// \ingroup Daemon
 struct PlainJob {
   RequestId request;
   const Organisation* organisation = nullptr;
   ServiceName service;
   WorkClass workClass;
-  /// Empty if the caller gave none.
+  /// Empty if the caller sent none.
   std::string idempotencyKey;
   PlainRequest call;
   Instant deadline{};
   Millis queueLimit{0};
 };
 
+/// \brief The service's answer, or the reason why there is none.
 /// \ingroup Daemon
 using PlainOutcome = std::variant<PlainAnswer, Refusal>;
 
-/// \brief Runs a call to a plain service: once, or with retries where it may repeat.
+/// \brief Runs a call to a plain service: with retries if it is repeatable, else at most once.
 /// \ingroup Daemon
 class PlainRunner {
  public:
-  PlainRunner(TrafficContext& context, OnceKeeper& keeper, PlainJob job);
+  PlainRunner(TrafficContext& context, OnceKeeper& onceRecords, PlainJob job);
   PlainOutcome run();
 
  private:
   PlainOutcome runRepeatable();
   PlainOutcome runOnce();
   GrantOutcome acquire();
-  PlainResult callAt(GrantHold& hold);
+  PlainResult callUpstream(GrantHold& hold);
   OnceEvent dispatchOnce(std::unique_ptr<GrantHold> hold);
-  void noteLeaving(const UpstreamId& upstream);
-  Millis timeLeft() const;
+  void reportLeaving(const UpstreamId& upstream);
+  Millis remainingTime() const;
 
   TrafficContext& context_;
-  OnceKeeper& keeper_;
+  OnceKeeper& onceRecords_;
   PlainJob job_;
-  std::vector<UpstreamId> avoid_;
+  std::vector<UpstreamId> excludedUpstreams_;
 };
 
 }  // namespace Hallchute
