--- a/Hallchute/src/Daemon/PeerJobs.cpp
+++ b/Hallchute/src/Daemon/PeerJobs.cpp
@@ -20,15 +20,16 @@
 namespace Hallchute {
 namespace {
 
-constexpr Millis kOfferLimit{1'000};
-constexpr Millis kAttachLimit{600};
-/// Peers that are asked for a request at once.
-constexpr std::size_t kMaxAsked = 16;
+constexpr Millis kHandOverTimeout{1'000};
+constexpr Millis kAttachTimeout{600};
+/// Maximum number of peers that a hand-over or an attach tries.
+constexpr std::size_t kMaxCandidates = 16;
 
-/// What one attach() waits for.
-struct Search {
+/// State of an attach() that queries several peers in parallel.
+struct AttachSearch {
   std::promise<JobPtr> found;
-  std::size_t open = 0;
+  /// Peers that have not answered yet.
+  std::size_t pendingPeers = 0;
   bool decided = false;
 
   void decide(const JobPtr& job) {
@@ -36,18 +37,18 @@
     decided = true;
     found.set_value(job);
   }
-  void oneLess() {
-    if (--open == 0) decide(nullptr);
+  void onPeerWithoutJob() {
+    if (--pendingPeers == 0) decide(nullptr);
   }
 };
 
-Refusal lostRefusal() {
+Refusal ownerLostRefusal() {
   return {RefusalReason::upstreamFailed, "the daemon that runs it is gone; ask again",
           RunOutcome::unknown, Millis(500)};
 }
 
-/// Feeds what the peer sends into the job that mirrors it.
-void onAttachReply(const AttachReplyMessage& reply, const JobPtr& mirror) {
+/// Applies a message from the peer to the local job that mirrors the peer's job.
+void applyAttachReply(const AttachReplyMessage& reply, const JobPtr& mirror) {
   if (!reply.tokens.empty()) mirror->mirror(reply.tokens);
   if (reply.refusal) {
     mirror->refuse(*reply.refusal);
@@ -66,7 +67,7 @@
   control_.transport().serve(PeerPath::kAttach, [this](const PeerStreamPtr& s) { serveAttach(s); });
 }
 
-std::vector<PeerJobs::Peer> PeerJobs::peersFor(const RequestId& request) {
+std::vector<PeerJobs::Peer> PeerJobs::rankedPeers(const RequestId& request) {
   std::vector<Member> others;
   control_.loop().call([&] { others = control_.membership().others(); });
   std::erase_if(others, [](const Member& m) { return m.status.state != MemberState::alive; });
@@ -75,29 +76,29 @@
   for (const Member& member : others) ids.push_back(member.status.id);
   const std::vector<DaemonId> ranked = rankOwners(request.str(), ids);
   std::vector<Peer> peers;
-  for (const bool home : {true, false}) {
+  for (const bool ownDomain : {true, false}) {
     for (const DaemonId& id : ranked) {
       const auto it = std::find_if(others.begin(), others.end(),
                                    [&](const Member& m) { return m.status.id == id; });
-      if ((it->status.domain == context_.domain) != home) continue;
+      if ((it->status.domain == context_.domain) != ownDomain) continue;
       peers.push_back({id, it->status.address});
     }
   }
-  if (peers.size() > kMaxAsked) peers.resize(kMaxAsked);
+  if (peers.size() > kMaxCandidates) peers.resize(kMaxCandidates);
   return peers;
 }
 
 DaemonId PeerJobs::handOver(const HandOverRecord& record) {
   const std::string text = handOverText(record);
-  for (const Peer& peer : peersFor(record.request)) {
-    if (offer(peer, text)) return peer.id;
+  for (const Peer& peer : rankedPeers(record.request)) {
+    if (offerHandOver(peer, text)) return peer.id;
   }
   return {};
 }
 
-bool PeerJobs::offer(const Peer& peer, const std::string& record) {
+bool PeerJobs::offerHandOver(const Peer& peer, const std::string& record) {
   auto answer = std::make_shared<std::promise<bool>>();
-  auto taken = answer->get_future();
+  auto accepted = answer->get_future();
   auto decided = std::make_shared<bool>(false);
   const auto decide = [answer, decided](bool value) {
     if (*decided) return;
@@ -111,22 +112,22 @@
     stream->onMessage = [decide, weak = std::weak_ptr<PeerStream>(stream)](std::string_view bytes) {
       const auto reply = unpack<HandOverReplyMessage>(bytes);
       decide(reply && reply->taken);
-      if (const PeerStreamPtr open = weak.lock()) open->close();
+      if (const PeerStreamPtr openStream = weak.lock()) openStream->close();
     };
-    control_.loop().after(kOfferLimit, [decide, stream] {
+    control_.loop().after(kHandOverTimeout, [decide, stream] {
       decide(false);
       stream->close();
     });
   });
-  return taken.get();
+  return accepted.get();
 }
 
 void PeerJobs::serveHandOver(const PeerStreamPtr& stream) {
   const std::weak_ptr<PeerStream> weak = stream;
   stream->onMessage = [this, weak](std::string_view bytes) {
-    const PeerStreamPtr open = weak.lock();
+    const PeerStreamPtr openStream = weak.lock();
     const auto message = unpack<HandOverMessage>(bytes);
-    if (!open) return;
+    if (!openStream) return;
     HandOverReplyMessage reply;
     Findings findings;
     if (message) {
@@ -142,17 +143,17 @@
         reply.taken = true;
       }
     }
-    open->send(pack(reply));
-    open->finish();
+    openStream->send(pack(reply));
+    openStream->finish();
   };
 }
 
 JobPtr PeerJobs::attach(const RequestId& request, const OrganisationName& organisation) {
-  const std::vector<Peer> peers = peersFor(request);
+  const std::vector<Peer> peers = rankedPeers(request);
   if (peers.empty()) return nullptr;
-  auto search = std::make_shared<Search>();
+  auto search = std::make_shared<AttachSearch>();
   auto found = search->found.get_future();
-  search->open = peers.size();
+  search->pendingPeers = peers.size();
   control_.loop().post([this, peers, search, request, organisation] {
     for (const Peer& peer : peers) {
       const PeerStreamPtr stream = control_.transport().open(
@@ -162,19 +163,19 @@
         if (*mirror) {
           const JobStage stage = (*mirror)->stage();
           const bool ended = stage == JobStage::finished || stage == JobStage::refused;
-          if (!ended) (*mirror)->refuse(lostRefusal());
+          if (!ended) (*mirror)->refuse(ownerLostRefusal());
         } else {
-          search->oneLess();
+          search->onPeerWithoutJob();
         }
       };
       stream->onMessage = [search, mirror, request, organisation,
                            weak = std::weak_ptr<PeerStream>(stream)](std::string_view bytes) {
-        const PeerStreamPtr open = weak.lock();
+        const PeerStreamPtr openStream = weak.lock();
         const auto reply = unpack<AttachReplyMessage>(bytes);
-        if (!open) return;
+        if (!openStream) return;
         if (!*mirror && (!reply || !reply->found || search->decided)) {
-          open->close();
-          search->oneLess();
+          openStream->close();
+          search->onPeerWithoutJob();
           return;
         }
         if (!*mirror) {
@@ -186,11 +187,11 @@
           *mirror = std::make_shared<Job>(spec);
           search->decide(*mirror);
         }
-        if (reply) onAttachReply(*reply, *mirror);
-        if (reply && (reply->finished || reply->refusal)) open->close();
+        if (reply) applyAttachReply(*reply, *mirror);
+        if (reply && (reply->finished || reply->refusal)) openStream->close();
       };
     }
-    control_.loop().after(kAttachLimit, [search] { search->decide(nullptr); });
+    control_.loop().after(kAttachTimeout, [search] { search->decide(nullptr); });
   });
   return found.get();
 }
@@ -198,20 +199,20 @@
 void PeerJobs::serveAttach(const PeerStreamPtr& stream) {
   const std::weak_ptr<PeerStream> weak = stream;
   stream->onMessage = [this, weak](std::string_view bytes) {
-    const PeerStreamPtr open = weak.lock();
+    const PeerStreamPtr openStream = weak.lock();
     const auto message = unpack<AttachMessage>(bytes);
-    if (!open || !message) return;
+    if (!openStream || !message) return;
     const JobPtr job = context_.jobs.find(message->request);
-    const bool mayRead = job != nullptr && job->stage() != JobStage::handedOver &&
-                         job->spec().organisation == message->organisation;
-    if (!mayRead) {
-      open->send(pack(AttachReplyMessage{}));
-      open->finish();
+    const bool readable = job != nullptr && job->stage() != JobStage::handedOver &&
+                          job->spec().organisation == message->organisation;
+    if (!readable) {
+      openStream->send(pack(AttachReplyMessage{}));
+      openStream->finish();
       return;
     }
     auto sent = std::make_shared<std::size_t>(static_cast<std::size_t>(message->offset));
-    // The listener lives in the job: it must not keep the job alive.
-    const auto sendNew = [weak, sent, weakJob = std::weak_ptr<Job>(job)] {
+    // The job owns the listener, so a strong reference here would be a cycle.
+    const auto sendNewTokens = [weak, sent, weakJob = std::weak_ptr<Job>(job)] {
       const PeerStreamPtr to = weak.lock();
       const JobPtr job = weakJob.lock();
       if (!job || !to || !to->isOpen()) return;
@@ -224,12 +225,12 @@
       *sent += view.tokens.size();
       reply.finished = view.stage == JobStage::finished;
       reply.refusal = view.refusal;
-      if (view.stage == JobStage::handedOver) reply.refusal = lostRefusal();
+      if (view.stage == JobStage::handedOver) reply.refusal = ownerLostRefusal();
       to->send(pack(reply));
       if (reply.finished || reply.refusal) to->finish();
     };
-    job->addListener([this, sendNew] { control_.loop().post(sendNew); });
-    sendNew();
+    job->addListener([this, sendNewTokens] { control_.loop().post(sendNewTokens); });
+    sendNewTokens();
   };
 }
 
--- a/Hallchute/src/Daemon/PeerJobs.h
+++ b/Hallchute/src/Daemon/PeerJobs.h
@@ -22,17 +22,18 @@
 class JobStarter;
 struct TrafficContext;
 
-/// \brief Jobs across daemons: handed to a peer, read at a peer.
+/// \brief Hands jobs over to peer daemons and reads the output of jobs that run on them.
 /// \ingroup Daemon
 class PeerJobs {
  public:
   PeerJobs(Control& control, TrafficContext& context, JobStarter& starter, JobRecords& records);
 
-  /// \brief Hands a record to the first peer that takes it, those of the own domain first.
-  /// \returns the peer, empty if none did. Blocks; any thread but the loop's.
+  /// \brief Offers a record to peers until one accepts it, peers of the local domain first.
+  /// \returns the peer that accepted, or an empty id. Blocks; must not be called on the event loop.
   DaemonId handOver(const HandOverRecord& record);
-  /// \brief Finds a job at a peer. \returns a job that shows its answer, null if no peer has it.
-  /// Blocks; any thread but the loop's.
+  /// \brief Searches the peers for a job.
+  /// \returns a local job that mirrors the peer's output, or null if no peer has the job. Blocks;
+  /// must not be called on the event loop.
   JobPtr attach(const RequestId& request, const OrganisationName& organisation);
 
  private:
@@ -41,8 +42,9 @@
     std::string address;
   };
 
-  std::vector<Peer> peersFor(const RequestId& request);
-  bool offer(const Peer& peer, const std::string& record);
+  /// The live peers to try for a request, in order: local domain first, then by rendezvous rank.
+  std::vector<Peer> rankedPeers(const RequestId& request);
+  bool offerHandOver(const Peer& peer, const std::string& record);
   void serveHandOver(const PeerStreamPtr& stream);
   void serveAttach(const PeerStreamPtr& stream);
 
--- a/Hallchute/src/Daemon/PlatformFollower.cpp
+++ b/Hallchute/src/Daemon/PlatformFollower.cpp
@@ -15,14 +15,14 @@
 namespace Hallchute {
 namespace {
 
-constexpr std::size_t kWatchers = 2;
-constexpr Millis kWatchWait{2'000};
-constexpr Millis kHostsPeriod{1'000};
-/// A daemon that does not watch still asks now and then whether the platform answers.
-constexpr Millis kOffDutyHostsPeriod{10'000};
-constexpr Millis kRetryPause{250};
-constexpr Millis kOffDutyPause{500};
-constexpr std::size_t kPage = 200;
+constexpr std::size_t kWatchersPerDomain = 2;
+constexpr Millis kWatchTimeout{2'000};
+constexpr Millis kHostPollPeriod{1'000};
+/// Daemons that are not watchers still poll, more rarely, to check that the platform answers.
+constexpr Millis kNonWatcherHostPollPeriod{10'000};
+constexpr Millis kRetryDelay{250};
+constexpr Millis kNonWatcherRecheckPeriod{500};
+constexpr std::size_t kPageSize = 200;
 constexpr std::string_view kNoticePrefix = "notices/";
 
 }  // namespace
@@ -36,9 +36,9 @@
 }
 
 void PlatformFollower::start() {
-  threads_.emplace_back([this] { followSettings(); });
-  threads_.emplace_back([this] { followNotices(); });
-  threads_.emplace_back([this] { followHosts(); });
+  threads_.emplace_back([this] { watchSettings(); });
+  threads_.emplace_back([this] { watchNotices(); });
+  threads_.emplace_back([this] { pollHosts(); });
 }
 
 void PlatformFollower::stop() {
@@ -51,45 +51,45 @@
   threads_.clear();
 }
 
-bool PlatformFollower::pause(Millis time) {
+bool PlatformFollower::sleepUnlessStopped(Millis time) {
   std::unique_lock lock(mutex_);
   return !stopped_.wait_for(lock, time, [this] { return stopping_; });
 }
 
-bool PlatformFollower::onDuty() {
-  return control_.hasDuty("watch", kWatchers);
+bool PlatformFollower::isWatcher() {
+  return control_.hasDuty("watch", kWatchersPerDomain);
 }
 
-void PlatformFollower::count(std::string_view kind) {
+void PlatformFollower::countCall(std::string_view kind) {
   metrics_.add("hallchute_platform_calls_total", "kind=\"" + std::string(kind) + "\"");
 }
 
-bool PlatformFollower::note(bool answered) {
+bool PlatformFollower::recordReply(bool answered) {
   if (answered) health_.noteAnswer(clockNow());
   return answered;
 }
 
-void PlatformFollower::followSettings() {
-  while (!loadSettings() && pause(kRetryPause)) {
+void PlatformFollower::watchSettings() {
+  while (!loadSettings() && sleepUnlessStopped(kRetryDelay)) {
   }
   std::uint64_t since = 0;
-  while (pause(Millis(0))) {
-    if (!onDuty()) {
+  while (sleepUnlessStopped(Millis(0))) {
+    if (!isWatcher()) {
       since = 0;
-      if (!pause(kOffDutyPause)) return;
+      if (!sleepUnlessStopped(kNonWatcherRecheckPeriod)) return;
       continue;
     }
-    // A watch that starts late may have missed changes: the list fills the gap.
+    // Changes made before the watch starts are not delivered by it, so list them first.
     if (since == 0 && !loadSettings()) {
-      if (!pause(kRetryPause)) return;
+      if (!sleepUnlessStopped(kRetryDelay)) return;
       continue;
     }
-    count("watch");
-    const auto reply = platform_.watch(kChangePrefix, since, kWatchWait);
+    countCall("watch");
+    const auto reply = platform_.watch(kChangePrefix, since, kWatchTimeout);
     const auto* done = std::get_if<Done<ObjectList>>(&reply);
-    if (!note(done != nullptr)) {
+    if (!recordReply(done != nullptr)) {
       since = 0;
-      if (!pause(kRetryPause)) return;
+      if (!sleepUnlessStopped(kRetryDelay)) return;
       continue;
     }
     since = done->value.version;
@@ -103,7 +103,7 @@
 }
 
 void PlatformFollower::loadSnapshot() {
-  count("read");
+  countCall("read");
   const auto reply = platform_.read(kSnapshotKey);
   const auto* done = std::get_if<Done<StoredObject>>(&reply);
   if (done == nullptr) return;
@@ -117,68 +117,68 @@
   if (control_.revision() == 0) loadSnapshot();
   for (;;) {
     const std::uint64_t before = control_.revision();
-    count("list");
-    const auto reply = editor_.history(before, kPage);
+    countCall("list");
+    const auto reply = editor_.history(before, kPageSize);
     const auto* done = std::get_if<Done<std::vector<SettingsChange>>>(&reply);
-    if (!note(done != nullptr)) return false;
+    if (!recordReply(done != nullptr)) return false;
     for (const SettingsChange& change : done->value) control_.learnChange(change);
-    if (done->value.size() < kPage || control_.revision() == before) return true;
+    if (done->value.size() < kPageSize || control_.revision() == before) return true;
   }
 }
 
-void PlatformFollower::followNotices() {
+void PlatformFollower::watchNotices() {
   std::uint64_t since = 0;
-  while (pause(Millis(0))) {
-    if (!onDuty()) {
+  while (sleepUnlessStopped(Millis(0))) {
+    if (!isWatcher()) {
       since = 0;
-      if (!pause(kOffDutyPause)) return;
+      if (!sleepUnlessStopped(kNonWatcherRecheckPeriod)) return;
       continue;
     }
-    count(since == 0 ? "list" : "watch");
+    countCall(since == 0 ? "list" : "watch");
     const bool answered =
-        takeNotices(since == 0 ? platform_.list(kNoticePrefix, "", kPage)
-                               : platform_.watch(kNoticePrefix, since, kWatchWait),
-                    since);
-    if (!note(answered) && !pause(kRetryPause)) return;
+        applyNotices(since == 0 ? platform_.list(kNoticePrefix, "", kPageSize)
+                                : platform_.watch(kNoticePrefix, since, kWatchTimeout),
+                     since);
+    if (!recordReply(answered) && !sleepUnlessStopped(kRetryDelay)) return;
   }
 }
 
-bool PlatformFollower::takeNotices(const PlatformReply<ObjectList>& reply, std::uint64_t& since) {
+bool PlatformFollower::applyNotices(const PlatformReply<ObjectList>& reply, std::uint64_t& since) {
   const auto* done = std::get_if<Done<ObjectList>>(&reply);
   if (done == nullptr) {
     since = 0;
     return false;
   }
   since = std::max<std::uint64_t>(done->value.version, 1);
-  for (const StoredObject& object : done->value.objects) takeNotice(object);
+  for (const StoredObject& object : done->value.objects) applyNotice(object);
   return true;
 }
 
-void PlatformFollower::takeNotice(const StoredObject& object) {
+void PlatformFollower::applyNotice(const StoredObject& object) {
   Findings findings;
   const JsonObject json = parseJsonObject(object.value, findings);
   if (!json) return;
   const UpstreamId host(json->optValue<std::string>("host", ""));
   const auto end = json->optValue<std::int64_t>("endsAtMs", 0);
-  const Millis left(std::max<std::int64_t>(0, end - wallClockMs()));
-  control_.noteLeave({host, left, LeaveSource::notice});
+  const Millis timeLeft(std::max<std::int64_t>(0, end - wallClockMs()));
+  control_.noteLeave({host, timeLeft, LeaveSource::notice});
 }
 
-void PlatformFollower::followHosts() {
-  Millis sinceAsked = kOffDutyHostsPeriod;
-  while (pause(Millis(0))) {
+void PlatformFollower::pollHosts() {
+  Millis sinceLastPoll = kNonWatcherHostPollPeriod;
+  while (sleepUnlessStopped(Millis(0))) {
     bool answered = true;
-    if (sinceAsked >= kOffDutyHostsPeriod || onDuty()) {
-      count("hosts");
+    if (sinceLastPoll >= kNonWatcherHostPollPeriod || isWatcher()) {
+      countCall("hosts");
       const auto reply = platform_.hosts();
       const auto* done = std::get_if<Done<HostList>>(&reply);
-      answered = note(done != nullptr);
+      answered = recordReply(done != nullptr);
       if (answered) control_.learnHosts(done->value);
-      sinceAsked = answered ? Millis(0) : kOffDutyHostsPeriod;
+      sinceLastPoll = answered ? Millis(0) : kNonWatcherHostPollPeriod;
     }
-    const Millis period = answered ? kHostsPeriod : kRetryPause;
-    if (!pause(period)) return;
-    sinceAsked += period;
+    const Millis period = answered ? kHostPollPeriod : kRetryDelay;
+    if (!sleepUnlessStopped(period)) return;
+    sinceLastPoll += period;
   }
 }
 
--- a/Hallchute/src/Daemon/PlatformFollower.h
+++ b/Hallchute/src/Daemon/PlatformFollower.h
@@ -19,11 +19,11 @@
 class PlatformHealth;
 class SettingsEditor;
 
-/// \brief Brings the platform's news in: settings, reclaim notices, the host list.
+/// \brief Fetches settings, reclaim notices and the host list from the platform.
 /// \ingroup Daemon
 ///
-/// Two daemons of a failure domain watch; the others hear from them. Every daemon reads once when
-/// it starts and whenever its duty begins.
+/// Two daemons of each failure domain watch the platform; the others receive updates from them by
+/// gossip. Every daemon reads the full state at startup and whenever it becomes a watcher.
 class PlatformFollower {
  public:
   PlatformFollower(PlatformPort& platform, SettingsEditor& editor, Control& control,
@@ -35,18 +35,20 @@
   void stop();
 
  private:
-  bool onDuty();
-  /// \returns false once the follower stops.
-  bool pause(Millis time);
-  void followSettings();
-  void followNotices();
-  void followHosts();
+  /// Whether this daemon is one of its domain's watchers.
+  bool isWatcher();
+  /// \returns false once stop() was called.
+  bool sleepUnlessStopped(Millis time);
+  void watchSettings();
+  void watchNotices();
+  void pollHosts();
   bool loadSettings();
   void loadSnapshot();
-  bool takeNotices(const PlatformReply<ObjectList>& reply, std::uint64_t& since);
-  void takeNotice(const StoredObject& object);
-  void count(std::string_view kind);
-  bool note(bool answered);
+  bool applyNotices(const PlatformReply<ObjectList>& reply, std::uint64_t& since);
+  void applyNotice(const StoredObject& object);
+  void countCall(std::string_view kind);
+  /// Updates the platform's health if it answered. \returns \p answered.
+  bool recordReply(bool answered);
 
   PlatformPort& platform_;
   SettingsEditor& editor_;
--- a/Hallchute/src/Daemon/PlatformHealth.cpp
+++ b/Hallchute/src/Daemon/PlatformHealth.cpp
@@ -6,17 +6,17 @@
 namespace Hallchute {
 namespace {
 
-constexpr Millis kFreshFor{12'000};
-constexpr Millis kStaleFor{30'000};
+constexpr Millis kMaxFreshAge{12'000};
+constexpr Millis kMaxStaleAge{30'000};
 
 }  // namespace
 
 Freshness PlatformHealth::freshness(Instant now) const {
-  const Instant::rep last = last_;
-  if (last == 0) return Freshness::out;
+  const Instant::rep last = lastAnswer_;
+  if (last == 0) return Freshness::expired;
   const auto age = now - Instant(Instant::duration(last));
-  if (age <= kFreshFor) return Freshness::fresh;
-  return age <= kStaleFor ? Freshness::stale : Freshness::out;
+  if (age <= kMaxFreshAge) return Freshness::fresh;
+  return age <= kMaxStaleAge ? Freshness::stale : Freshness::expired;
 }
 
 std::string_view freshnessWord(Freshness freshness) {
@@ -25,7 +25,7 @@
       return "fresh";
     case Freshness::stale:
       return "stale";
-    case Freshness::out:
+    case Freshness::expired:
       break;
   }
   return "out";
--- a/Hallchute/src/Daemon/PlatformHealth.h
+++ b/Hallchute/src/Daemon/PlatformHealth.h
@@ -11,20 +11,20 @@
 
 namespace Hallchute {
 
-/// \brief How well this daemon's word from the platform still holds.
+/// \brief The age class of the data last received from the platform.
 /// \ingroup Daemon
-enum class Freshness { fresh, stale, out };
+enum class Freshness { fresh, stale, expired };
 
-/// \brief Remembers when the platform last answered. Any thread.
+/// \brief Tracks the time of the platform's last answer. Thread-safe.
 /// \ingroup Daemon
 class PlatformHealth {
  public:
-  void noteAnswer(Instant now) { last_ = now.time_since_epoch().count(); }
-  /// \brief Fresh up to 12 s after an answer, stale up to 30 s, then out.
+  void noteAnswer(Instant now) { lastAnswer_ = now.time_since_epoch().count(); }
+  /// \brief Fresh up to 12 s after an answer, stale up to 30 s, then expired.
   Freshness freshness(Instant now) const;
 
  private:
-  std::atomic<Instant::rep> last_{0};
+  std::atomic<Instant::rep> lastAnswer_{0};
 };
 
 std::string_view freshnessWord(Freshness freshness);
