--- a/Hallchute/src/Daemon/OperatorHandler.cpp
+++ b/Hallchute/src/Daemon/OperatorHandler.cpp
@@ -25,39 +25,40 @@
 namespace Hallchute {
 namespace {
 
-constexpr std::size_t kMaxBody = 1U << 20U;
-constexpr std::size_t kHistoryPage = 200;
+constexpr std::size_t kMaxBodyBytes = 1U << 20U;
+constexpr std::size_t kHistoryPageSize = 200;
 constexpr std::int64_t kDefaultLeaveMs = 30'000;
-constexpr Millis kSpreadLimit{1'000};
+constexpr Millis kLeaveAckTimeout{1'000};
 constexpr std::string_view kUpstreamPrefix = "/upstreams/";
 constexpr std::string_view kLeaveSuffix = "/leave";
 
-std::string query(const Poco::URI& uri, const std::string& name, const std::string& fallback) {
+std::string queryParameter(const Poco::URI& uri, const std::string& name,
+                           const std::string& fallback) {
   for (const auto& [key, value] : uri.getQueryParameters()) {
     if (key == name) return value;
   }
   return fallback;
 }
 
-JsonObject object() {
+JsonObject newObject() {
   return new Poco::JSON::Object;
 }
 
 JsonObject findingsJson(const Findings& findings) {
   Poco::JSON::Array::Ptr rows = new Poco::JSON::Array;
   for (const Finding& finding : findings) {
-    JsonObject row = object();
+    JsonObject row = newObject();
     row->set("path", finding.path);
     row->set("message", finding.message);
     rows->add(row);
   }
-  JsonObject json = object();
+  JsonObject json = newObject();
   json->set("findings", rows);
   return json;
 }
 
 std::string messageJson(const std::string& message) {
-  JsonObject json = object();
+  JsonObject json = newObject();
   json->set("message", message);
   return jsonText(json);
 }
@@ -93,7 +94,7 @@
   if (request.getMethod() != Poco::Net::HTTPRequest::HTTP_POST) {
     return {405, "application/json", messageJson("GET and POST only")};
   }
-  const auto body = readBody(request, kMaxBody);
+  const auto body = readBody(request, kMaxBodyBytes);
   if (const auto* refusal = std::get_if<Refusal>(&body)) {
     return {httpStatus(refusal->reason), "application/json", messageJson(refusal->detail)};
   }
@@ -102,7 +103,7 @@
 
 OperatorHandler::Reply OperatorHandler::get(const std::string& path, const Poco::URI& uri) {
   if (path == "/metrics") {
-    noteProcessMetrics(services_);
+    updateProcessMetrics(services_);
     return {200, "text/plain; version=0.0.4", services_.metrics.page()};
   }
   if (path == "/status") return {200, "application/json", jsonText(statusJson(services_))};
@@ -121,8 +122,8 @@
     services_.drain();
     return {202, "application/json", messageJson("draining")};
   }
-  const bool leaves = path.rfind(kUpstreamPrefix, 0) == 0 && path.ends_with(kLeaveSuffix);
-  if (leaves) {
+  const bool isLeave = path.rfind(kUpstreamPrefix, 0) == 0 && path.ends_with(kLeaveSuffix);
+  if (isLeave) {
     const std::size_t size = path.size() - kUpstreamPrefix.size() - kLeaveSuffix.size();
     return leave(path.substr(kUpstreamPrefix.size(), size), uri);
   }
@@ -131,21 +132,21 @@
 
 OperatorHandler::Reply OperatorHandler::settings() const {
   const auto inForce = services_.settings.get();
-  JsonObject json = object();
+  JsonObject json = newObject();
   json->set("revision", inForce->revision);
   json->set("settings", inForce->json);
   return {200, "application/json", jsonText(json)};
 }
 
 OperatorHandler::Reply OperatorHandler::explain(const Poco::URI& uri) const {
-  const auto key = policyKeyNamed(query(uri, "key", ""));
+  const auto key = policyKeyNamed(queryParameter(uri, "key", ""));
   if (!key) return {404, "application/json", messageJson("key names no policy number")};
-  const PolicyScope scope{DomainName(query(uri, "domain", services_.startup.domain.str())),
-                          ServiceName(query(uri, "service", "")),
-                          OrganisationName(query(uri, "organisation", ""))};
+  const PolicyScope scope{DomainName(queryParameter(uri, "domain", services_.startup.domain.str())),
+                          ServiceName(queryParameter(uri, "service", "")),
+                          OrganisationName(queryParameter(uri, "organisation", ""))};
   const auto inForce = services_.settings.get();
   const PolicyAnswer answer = inForce->tree.explain(*key, scope);
-  JsonObject json = object();
+  JsonObject json = newObject();
   json->set("value", answer.value);
   json->set("level", answer.level);
   json->set("revision", inForce->revision);
@@ -153,8 +154,8 @@
 }
 
 OperatorHandler::Reply OperatorHandler::history(const Poco::URI& uri) {
-  const auto after = std::strtoull(query(uri, "after", "0").c_str(), nullptr, 10);
-  const auto reply = services_.editor.history(after, kHistoryPage);
+  const auto after = std::strtoull(queryParameter(uri, "after", "0").c_str(), nullptr, 10);
+  const auto reply = services_.editor.history(after, kHistoryPageSize);
   if (const auto* done = std::get_if<Done<std::vector<SettingsChange>>>(&reply)) {
     return {200, "application/json", changesJson(done->value)};
   }
@@ -209,13 +210,14 @@
 }
 
 OperatorHandler::Reply OperatorHandler::leave(const std::string& upstream, const Poco::URI& uri) {
-  const Millis left(
-      std::strtoll(query(uri, "inMs", std::to_string(kDefaultLeaveMs)).c_str(), nullptr, 10));
-  const LeaveAnnouncement announcement{UpstreamId(upstream), left, LeaveSource::operatorRequest};
-  const bool spread = services_.control.noteLeaveAndSpread(announcement, kSpreadLimit);
+  const Millis timeLeft(std::strtoll(
+      queryParameter(uri, "inMs", std::to_string(kDefaultLeaveMs)).c_str(), nullptr, 10));
+  const LeaveAnnouncement announcement{UpstreamId(upstream), timeLeft,
+                                       LeaveSource::operatorRequest};
+  const bool acknowledged = services_.control.noteLeaveAndSpread(announcement, kLeaveAckTimeout);
   return {202, "application/json",
           messageJson(upstream + " is leaving" +
-                      (spread ? "" : "; no other daemon has acknowledged it yet"))};
+                      (acknowledged ? "" : "; no other daemon has acknowledged it yet"))};
 }
 
 OperatorHandler::Reply OperatorHandler::requests() const {
--- a/Hallchute/src/Daemon/OperatorHandler.h
+++ b/Hallchute/src/Daemon/OperatorHandler.h
@@ -15,7 +15,7 @@
 
 struct OperatorServices;
 
-/// \brief Answers what operators ask, after a check of their token.
+/// \brief Handles requests to the operator API; all of them require the operator token.
 /// \ingroup Daemon
 class OperatorHandler final : public Poco::Net::HTTPRequestHandler {
  public:
--- a/Hallchute/src/Daemon/OperatorServer.cpp
+++ b/Hallchute/src/Daemon/OperatorServer.cpp
@@ -14,7 +14,7 @@
 namespace {
 
 constexpr int kMaxThreads = 8;
-constexpr int kSilenceSeconds = 10;
+constexpr int kConnectionTimeoutSeconds = 10;
 
 class HandlerFactory final : public Poco::Net::HTTPRequestHandlerFactory {
  public:
@@ -40,7 +40,7 @@
   socket.listen();
   Poco::Net::HTTPServerParams::Ptr params = new Poco::Net::HTTPServerParams;
   params->setMaxThreads(kMaxThreads - 1);
-  params->setTimeout(Poco::Timespan(kSilenceSeconds, 0));
+  params->setTimeout(Poco::Timespan(kConnectionTimeoutSeconds, 0));
   params->setKeepAlive(false);
   server_ = std::make_unique<Poco::Net::HTTPServer>(new HandlerFactory(services), threads_, socket,
                                                     params);
--- a/Hallchute/src/Daemon/OperatorServer.h
+++ b/Hallchute/src/Daemon/OperatorServer.h
@@ -17,7 +17,7 @@
 
 struct OperatorServices;
 
-/// \brief The HTTP server that operators reach, on an address of its own.
+/// \brief The HTTP server of the operator API, which has its own listen address.
 /// \ingroup Daemon
 class OperatorServer {
  public:
--- a/Hallchute/src/Daemon/OperatorServices.h
+++ b/Hallchute/src/Daemon/OperatorServices.h
@@ -17,7 +17,7 @@
 class SettingsStore;
 struct StartupFile;
 
-/// \brief What the handlers of operators' requests use.
+/// \brief Dependencies of the operator API's request handlers.
 /// \ingroup Daemon
 struct OperatorServices {
   const StartupFile& startup;
--- a/Hallchute/src/Daemon/SettingsEditor.cpp
+++ b/Hallchute/src/Daemon/SettingsEditor.cpp
@@ -14,9 +14,9 @@
 namespace Hallchute {
 namespace {
 
-constexpr std::size_t kPage = 200;
-constexpr std::uint64_t kSnapshotEvery = 50;
-constexpr int kMaxTries = 3;
+constexpr std::size_t kPageSize = 200;
+constexpr std::uint64_t kChangesPerSnapshot = 50;
+constexpr int kMaxAttempts = 3;
 
 std::string utcNow() {
   return Poco::DateTimeFormatter::format(Poco::Timestamp(),
@@ -25,12 +25,13 @@
 
 }  // namespace
 
-SettingsEditor::SettingsEditor(PlatformPort& platform, const SettingsStore& settings, Learn learn)
-    : platform_(platform), settings_(settings), learn_(std::move(learn)) {}
+SettingsEditor::SettingsEditor(PlatformPort& platform, const SettingsStore& settings,
+                               ChangeCallback onChange)
+    : platform_(platform), settings_(settings), onChange_(std::move(onChange)) {}
 
 PlatformReply<std::vector<SettingsChange>> SettingsEditor::history(std::uint64_t after,
-                                                                   std::size_t most) {
-  const auto reply = platform_.list(kChangePrefix, changeKey(after), most);
+                                                                   std::size_t limit) {
+  const auto reply = platform_.list(kChangePrefix, changeKey(after), limit);
   if (const auto* refused = std::get_if<Refused>(&reply)) return *refused;
   if (const auto* unknown = std::get_if<NotKnown>(&reply)) return *unknown;
   std::vector<SettingsChange> changes;
@@ -40,38 +41,38 @@
     if (findings.empty()) {
       changes.push_back(std::move(change));
     } else {
-      logLine(LogLevel::error, object.key + " is unreadable: " + describe(findings));
+      logLine(LogLevel::error, object.key + " is malformed: " + describe(findings));
     }
   }
   return Done<std::vector<SettingsChange>>{std::move(changes)};
 }
 
-std::variant<std::uint64_t, ProposalUnavailable> SettingsEditor::catchUp(JsonObject& json) {
+std::variant<std::uint64_t, ProposalUnavailable> SettingsEditor::loadLatest(JsonObject& json) {
   const auto inForce = settings_.get();
   std::uint64_t revision = inForce->revision;
   json = inForce->json ? inForce->json : JsonObject(new Poco::JSON::Object);
   for (;;) {
-    const auto reply = history(revision, kPage);
+    const auto reply = history(revision, kPageSize);
     const auto* done = std::get_if<Done<std::vector<SettingsChange>>>(&reply);
     if (done == nullptr) return ProposalUnavailable{"the platform can't be read"};
     for (const SettingsChange& change : done->value) {
       if (change.number != revision + 1) break;
       json = mergePatch(json, change.patch);
       revision = change.number;
-      learn_(change);
+      onChange_(change);
     }
-    if (done->value.size() < kPage) return revision;
+    if (done->value.size() < kPageSize) return revision;
   }
 }
 
 ProposalOutcome SettingsEditor::propose(const SettingsProposal& proposal) {
   JsonObject json;
-  const auto caught = catchUp(json);
-  if (const auto* out = std::get_if<ProposalUnavailable>(&caught)) return *out;
-  const std::uint64_t revision = std::get<std::uint64_t>(caught);
+  const auto latest = loadLatest(json);
+  if (const auto* unavailable = std::get_if<ProposalUnavailable>(&latest)) return *unavailable;
+  const std::uint64_t revision = std::get<std::uint64_t>(latest);
   if (proposal.baseRevision != 0 && proposal.baseRevision < revision) {
     const auto winner = readChange(proposal.baseRevision + 1);
-    if (const auto* out = std::get_if<ProposalUnavailable>(&winner)) return *out;
+    if (const auto* unavailable = std::get_if<ProposalUnavailable>(&winner)) return *unavailable;
     return ProposalConflict{std::get<SettingsChange>(winner)};
   }
   const JsonObject merged = mergePatch(json, proposal.patch);
@@ -97,10 +98,10 @@
 ProposalOutcome SettingsEditor::create(const SettingsChange& change) {
   const std::string key = changeKey(change.number);
   bool maybeWritten = false;
-  for (int attempt = 0; attempt < kMaxTries; ++attempt) {
+  for (int attempt = 0; attempt < kMaxAttempts; ++attempt) {
     const auto reply = platform_.write(key, changeText(change), 0);
     if (std::holds_alternative<Done<std::uint64_t>>(reply)) {
-      learn_(change);
+      onChange_(change);
       return ProposalAccepted{change};
     }
     const auto* refused = std::get_if<Refused>(&reply);
@@ -110,12 +111,12 @@
       return ProposalUnavailable{refused->detail};
     }
     maybeWritten = maybeWritten || !conflict;
-    // The reply may have been lost after the write took effect: what stands there decides.
-    const auto stands = readChange(change.number);
-    if (const auto* there = std::get_if<SettingsChange>(&stands)) {
-      learn_(*there);
-      if (there->id == change.id) return ProposalAccepted{change};
-      return ProposalConflict{*there};
+    // The reply may have been lost after the write took effect, so compare the stored object.
+    const auto stored = readChange(change.number);
+    if (const auto* existing = std::get_if<SettingsChange>(&stored)) {
+      onChange_(*existing);
+      if (existing->id == change.id) return ProposalAccepted{change};
+      return ProposalConflict{*existing};
     }
   }
   return ProposalUnknown{change.id};
@@ -131,9 +132,10 @@
   return change;
 }
 
-/// A snapshot spares starting daemons the whole log. Losing one costs nothing but reading.
+/// A snapshot saves starting daemons from reading the whole log. If the write fails, they only read
+/// more of the log.
 void SettingsEditor::writeSnapshot(const SettingsChange& change, const JsonObject& json) {
-  if (change.number % kSnapshotEvery != 0) return;
+  if (change.number % kChangesPerSnapshot != 0) return;
   const auto reply = platform_.read(kSnapshotKey);
   std::uint64_t version = 0;
   if (const auto* done = std::get_if<Done<StoredObject>>(&reply)) version = done->value.version;
@@ -142,7 +144,7 @@
   snapshot->set("settings", json);
   const auto written = platform_.write(kSnapshotKey, jsonText(snapshot), version);
   if (!std::holds_alternative<Done<std::uint64_t>>(written)) {
-    logLine(LogLevel::warning, "the snapshot of the settings was not written");
+    logLine(LogLevel::warning, "failed to write the settings snapshot");
   }
 }
 
--- a/Hallchute/src/Daemon/SettingsEditor.h
+++ b/Hallchute/src/Daemon/SettingsEditor.h
@@ -18,35 +18,35 @@
 
 class SettingsStore;
 
-/// \brief What an operator proposes.
+/// \brief A settings change proposed by an operator.
 /// \ingroup Daemon
 struct SettingsProposal {
   std::string author;
   std::string reason;
   JsonObject patch;
-  /// The revision it was made against; 0 takes the newest.
+  /// The revision that the patch is based on; 0 applies it to the latest one.
   std::uint64_t baseRevision = 0;
 };
 
-/// \brief It is accepted and will be in force everywhere. \ingroup Daemon
+/// \brief The change was accepted; all daemons will apply it. \ingroup Daemon
 struct ProposalAccepted {
   SettingsChange change;
 };
-/// \brief It would change nothing. \ingroup Daemon
+/// \brief The patch does not change the settings. \ingroup Daemon
 struct ProposalEmpty {};
-/// \brief It has faults. \ingroup Daemon
+/// \brief The proposal or the resulting settings are invalid. \ingroup Daemon
 struct ProposalInvalid {
   Findings findings;
 };
-/// \brief Another change came first. \ingroup Daemon
+/// \brief Another change was accepted first. \ingroup Daemon
 struct ProposalConflict {
   SettingsChange winner;
 };
-/// \brief The platform is out: it is surely not accepted. \ingroup Daemon
+/// \brief The platform is unavailable; the change was certainly not accepted. \ingroup Daemon
 struct ProposalUnavailable {
   std::string detail;
 };
-/// \brief Nobody knows yet; the history will show whether a change with this id is there.
+/// \brief It is unknown whether the change was accepted; look for \p id in the history.
 /// \ingroup Daemon
 struct ProposalUnknown {
   std::string id;
@@ -56,29 +56,30 @@
 using ProposalOutcome = std::variant<ProposalAccepted, ProposalEmpty, ProposalInvalid,
                                      ProposalConflict, ProposalUnavailable, ProposalUnknown>;
 
-/// \brief Proposes changes of the settings to the platform's log.
+/// \brief Appends settings changes to the log on the platform.
 /// \ingroup Daemon
 ///
-/// Acceptance is the creation of the numbered object, and nothing else. Blocks; any thread.
+/// A change is accepted if and only if its numbered object was created. Blocks; thread-safe.
 class SettingsEditor {
  public:
-  /// Told each change that is known to stand.
-  using Learn = std::function<void(const SettingsChange&)>;
+  /// Called with each change that is known to be accepted.
+  using ChangeCallback = std::function<void(const SettingsChange&)>;
 
-  SettingsEditor(PlatformPort& platform, const SettingsStore& settings, Learn learn);
+  SettingsEditor(PlatformPort& platform, const SettingsStore& settings, ChangeCallback onChange);
   ProposalOutcome propose(const SettingsProposal& proposal);
-  /// \brief Changes after number \p after, oldest first, from the platform.
-  PlatformReply<std::vector<SettingsChange>> history(std::uint64_t after, std::size_t most);
+  /// \brief Lists at most \p limit changes after number \p after from the platform, oldest first.
+  PlatformReply<std::vector<SettingsChange>> history(std::uint64_t after, std::size_t limit);
 
  private:
-  std::variant<std::uint64_t, ProposalUnavailable> catchUp(JsonObject& json);
+  /// Reads the latest settings into \p json. \returns their revision.
+  std::variant<std::uint64_t, ProposalUnavailable> loadLatest(JsonObject& json);
   ProposalOutcome create(const SettingsChange& change);
   std::variant<SettingsChange, ProposalUnavailable> readChange(std::uint64_t number);
   void writeSnapshot(const SettingsChange& change, const JsonObject& json);
 
   PlatformPort& platform_;
   const SettingsStore& settings_;
-  Learn learn_;
+  ChangeCallback onChange_;
 };
 
 inline constexpr std::string_view kSnapshotKey = "settings/snapshot";
--- a/Hallchute/src/Daemon/SettingsStore.h
+++ b/Hallchute/src/Daemon/SettingsStore.h
@@ -12,7 +12,7 @@
 
 namespace Hallchute {
 
-/// \brief Hands the settings in force to any thread. The control thread alone replaces them.
+/// \brief Holds the current settings. Thread-safe; only the control thread calls set().
 /// \ingroup Daemon
 class SettingsStore {
  public:
--- a/Hallchute/src/Daemon/StartupFile.cpp
+++ b/Hallchute/src/Daemon/StartupFile.cpp
@@ -14,9 +14,9 @@
 namespace {
 
 constexpr std::array<std::string_view, 4> kLogLevels{"info", "debug", "warning", "error"};
-constexpr std::int64_t kMaxCallers = 65'536;
-constexpr std::int64_t kLeastLimitMs = 10;
-constexpr std::int64_t kMostLimitMs = 60'000;
+constexpr std::int64_t kMaxConnections = 65'536;
+constexpr std::int64_t kMinTimeoutMs = 10;
+constexpr std::int64_t kMaxTimeoutMs = 60'000;
 
 }  // namespace
 
@@ -37,7 +37,7 @@
   }
   root.object("callers", [&](JsonReader& reader) {
     file.callerListen = addressMember(reader, "listen", true);
-    file.maxCallers = static_cast<int>(reader.integer("maxConnections", 1, kMaxCallers, 512));
+    file.maxCallers = static_cast<int>(reader.integer("maxConnections", 1, kMaxConnections, 512));
   });
   root.object("operators", [&](JsonReader& reader) {
     file.operatorListen = addressMember(reader, "listen", true);
@@ -53,7 +53,7 @@
   root.object("platform", [&](JsonReader& reader) {
     file.platformAddress = addressMember(reader, "address", true);
     file.platformToken = reader.text("token", true);
-    file.platformLimit = Millis(reader.integer("limitMs", kLeastLimitMs, kMostLimitMs, 1'000));
+    file.platformLimit = Millis(reader.integer("limitMs", kMinTimeoutMs, kMaxTimeoutMs, 1'000));
   });
   root.finish();
   return file;
--- a/Hallchute/src/Daemon/StartupFile.h
+++ b/Hallchute/src/Daemon/StartupFile.h
@@ -15,18 +15,18 @@
 
 namespace Hallchute {
 
-/// \brief What a daemon must know before it can read the settings.
+/// \brief The configuration that a daemon needs before it can read the settings.
 /// \ingroup Daemon
 struct StartupFile {
   DaemonId daemon;
   DomainName domain;
-  /// Where callers connect, `ip:port`.
+  /// Listen address for callers, `ip:port`.
   std::string callerListen;
   int maxCallers = 512;
   std::string operatorListen;
   std::string operatorToken;
   std::string peerListen;
-  /// Where peers reach it; `peerListen` unless something stands between.
+  /// Address that peers connect to; differs from `peerListen` behind a proxy or NAT.
   std::string peerAdvertise;
   std::string peerSecret;
   std::vector<std::string> seeds;
@@ -35,11 +35,11 @@
   Millis platformLimit{1'000};
   std::string logLevel = "info";
 
-  /// \brief The own IP: outgoing connections leave from it.
+  /// \brief The IP of `peerListen`, to which outgoing connections are bound.
   std::string ownIp() const;
 };
 
-/// \brief Reads and checks a start-up file; every fault is added to \p findings.
+/// \brief Parses and validates a startup file; adds every error to \p findings.
 /// \ingroup Daemon
 StartupFile readStartupFile(std::string_view text, Findings& findings);
 
--- a/Hallchute/src/Daemon/StatusJson.cpp
+++ b/Hallchute/src/Daemon/StatusJson.cpp
@@ -21,8 +21,8 @@
 namespace Hallchute {
 namespace {
 
-constexpr std::array<const char*, 4> kMemberWords{"alive", "suspect", "leaving", "dead"};
-constexpr std::array<const char*, 5> kStageWords{"waiting", "running", "finished", "refused",
+constexpr std::array<const char*, 4> kMemberStateNames{"alive", "suspect", "leaving", "dead"};
+constexpr std::array<const char*, 5> kStageNames{"waiting", "running", "finished", "refused",
                                                  "handed-over"};
 constexpr double kBytesPerKilobyte = 1024;
 constexpr double kMicrosPerSecond = 1e6;
@@ -32,7 +32,7 @@
   json->set("daemon", status.id.str());
   json->set("failureDomain", status.domain.str());
   json->set("address", status.address);
-  json->set("state", std::string(kMemberWords.at(static_cast<std::size_t>(status.state))));
+  json->set("state", std::string(kMemberStateNames.at(static_cast<std::size_t>(status.state))));
   json->set("incarnation", status.incarnation);
   json->set("revision", status.revision);
   return json;
@@ -95,7 +95,7 @@
               row->set("service", job->spec().service.str());
               row->set("class", job->spec().workClass.str());
               row->set("stage",
-                       std::string(kStageWords.at(static_cast<std::size_t>(job->stage()))));
+                       std::string(kStageNames.at(static_cast<std::size_t>(job->stage()))));
               row->set("upstream", job->upstream().str());
               row->set("tokens", job->tokenCount());
               return row;
@@ -103,7 +103,7 @@
   return json;
 }
 
-void noteProcessMetrics(OperatorServices& services) {
+void updateProcessMetrics(OperatorServices& services) {
   rusage usage{};
   getrusage(RUSAGE_SELF, &usage);
   const auto seconds = [](const timeval& time) {
--- a/Hallchute/src/Daemon/StatusJson.h
+++ b/Hallchute/src/Daemon/StatusJson.h
@@ -10,17 +10,18 @@
 
 struct OperatorServices;
 
-/// \brief What `/status` shows.
+/// \brief The document that `/status` returns.
 /// \ingroup Daemon
 JsonObject statusJson(OperatorServices& services);
 
-/// \brief What `/requests` shows: the jobs of this daemon.
+/// \brief The document that `/requests` returns: the jobs of this daemon.
 /// \ingroup Daemon
 JsonObject requestsJson(const OperatorServices& services);
 
-/// \brief Sets the gauges that are read when they are asked for: memory, processor, peer bytes.
+/// \brief Updates the metrics that are sampled on each scrape: CPU time, memory, peer traffic and
+/// the number of members.
 /// \ingroup Daemon
-void noteProcessMetrics(OperatorServices& services);
+void updateProcessMetrics(OperatorServices& services);
 
 }  // namespace Hallchute
 
