--- a/Hallchute/src/Daemon/Problem.h
+++ b/Hallchute/src/Daemon/Problem.h
@@ -19,7 +19,7 @@
 /// \ingroup Daemon
 std::string problemDocument(const Refusal& refusal, std::string_view request);
 
-/// \brief Answers with a refusal: status, outcome, Retry-After, document.
+/// \brief Sends a refusal as the response: status, Hallchute-Outcome, Retry-After and document.
 /// \ingroup Daemon
 void sendProblem(Poco::Net::HTTPServerResponse& response, const Refusal& refusal,
                  std::string_view request);
--- a/Hallchute/src/Daemon/RandomName.cpp
+++ b/Hallchute/src/Daemon/RandomName.cpp
@@ -11,12 +11,12 @@
 namespace Hallchute {
 namespace {
 
-constexpr std::size_t kBytes = 16;
+constexpr std::size_t kRandomBytes = 16;
 
 }  // namespace
 
 std::string randomName() {
-  std::array<char, kBytes> bytes{};
+  std::array<char, kRandomBytes> bytes{};
   Poco::RandomInputStream random;
   random.read(bytes.data(), bytes.size());
   return Poco::DigestEngine::digestToHex({bytes.begin(), bytes.end()});
--- a/Hallchute/src/Daemon/RandomName.h
+++ b/Hallchute/src/Daemon/RandomName.h
@@ -8,7 +8,7 @@
 
 namespace Hallchute {
 
-/// \brief 128 random bits in hexadecimal, from the system's source.
+/// \brief Returns 128 bits from the system's random source, in hexadecimal.
 /// \ingroup Daemon
 std::string randomName();
 
--- a/Hallchute/src/Daemon/RequestHandler.cpp
+++ b/Hallchute/src/Daemon/RequestHandler.cpp
@@ -41,7 +41,7 @@
                                               Poco::Net::HTTPServerResponse& response) {
   const auto caller = authorise(request, services_);
   if (const auto* refusal = std::get_if<Refusal>(&caller)) return *refusal;
-  const Found found = find(std::get<Caller>(caller).organisation->name);
+  const FindResult found = find(std::get<Caller>(caller).organisation->name);
   if (const auto* refusal = std::get_if<Refusal>(&found)) return *refusal;
   const JobPtr& job = std::get<JobPtr>(found);
   if (request.getMethod() == Poco::Net::HTTPRequest::HTTP_DELETE) {
@@ -63,17 +63,17 @@
   return std::nullopt;
 }
 
-RequestHandler::Found RequestHandler::find(const OrganisationName& organisation) {
-  const JobPtr here = services_.context.jobs.find(id_);
-  if (here != nullptr && here->stage() != JobStage::handedOver) {
-    if (here->spec().organisation != organisation) return notFound();
-    return here;
+RequestHandler::FindResult RequestHandler::find(const OrganisationName& organisation) {
+  const JobPtr localJob = services_.context.jobs.find(id_);
+  if (localJob != nullptr && localJob->stage() != JobStage::handedOver) {
+    if (localJob->spec().organisation != organisation) return notFound();
+    return localJob;
   }
-  if (const JobPtr there = services_.peers.attach(id_, organisation)) return there;
+  if (const JobPtr peerJob = services_.peers.attach(id_, organisation)) return peerJob;
   return findRecord(organisation);
 }
 
-RequestHandler::Found RequestHandler::findRecord(const OrganisationName& organisation) {
+RequestHandler::FindResult RequestHandler::findRecord(const OrganisationName& organisation) {
   const auto found = services_.records.find(id_);
   if (const auto* refusal = std::get_if<Refusal>(&found)) return *refusal;
   const auto& record = std::get<HandOverRecord>(found);
--- a/Hallchute/src/Daemon/RequestHandler.h
+++ b/Hallchute/src/Daemon/RequestHandler.h
@@ -18,7 +18,7 @@
 
 class Job;
 
-/// \brief Answers `GET` and `DELETE /v1/requests/{id}` for requests of any daemon.
+/// \brief Handles `GET` and `DELETE /v1/requests/{id}`, whichever daemon runs the request.
 /// \ingroup Daemon
 class RequestHandler final : public Poco::Net::HTTPRequestHandler {
  public:
@@ -28,12 +28,12 @@
                      Poco::Net::HTTPServerResponse& response) override;
 
  private:
-  using Found = std::variant<std::shared_ptr<Job>, Refusal>;
+  using FindResult = std::variant<std::shared_ptr<Job>, Refusal>;
 
   std::optional<Refusal> handle(const Poco::Net::HTTPServerRequest& request,
                                 Poco::Net::HTTPServerResponse& response);
-  Found find(const OrganisationName& organisation);
-  Found findRecord(const OrganisationName& organisation);
+  FindResult find(const OrganisationName& organisation);
+  FindResult findRecord(const OrganisationName& organisation);
 
   CallerServices& services_;
   RequestId id_;
--- a/Hallchute/src/Daemon/RetryBudgets.h
+++ b/Hallchute/src/Daemon/RetryBudgets.h
@@ -12,7 +12,7 @@
 
 namespace Hallchute {
 
-/// \brief The retry budget of each service. Any thread.
+/// \brief The retry budgets of all services. Thread-safe.
 /// \ingroup Daemon
 class RetryBudgets {
  public:
--- a/Hallchute/src/Daemon/ShardOwners.cpp
+++ b/Hallchute/src/Daemon/ShardOwners.cpp
@@ -13,7 +13,7 @@
 
 constexpr double kPercent = 100;
 
-GrantId idOf(const GrantAction& action) {
+GrantId grantIdOf(const GrantAction& action) {
   return std::visit([](const auto& a) { return a.id; }, action);
 }
 
@@ -43,7 +43,7 @@
       PrefixAffinity{static_cast<double>(number(PolicyKey::loadBoundPercent)) / kPercent};
   if (shard.index == kAlone) {
     policy.maxInFlightPerUpstream = std::max<std::size_t>(
-        1, policy.maxInFlightPerUpstream / std::max<std::size_t>(1, sharers_));
+        1, policy.maxInFlightPerUpstream / std::max<std::size_t>(1, daemonCount_));
   }
   return policy;
 }
@@ -65,8 +65,9 @@
   return *owner;
 }
 
-void ShardOwners::requestGrant(const ShardKey& shard, GrantRequest wanted, Sink sink, Instant now) {
-  sinks_[wanted.id] = std::move(sink);
+void ShardOwners::requestGrant(const ShardKey& shard, GrantRequest wanted, GrantCallback callback,
+                               Instant now) {
+  callbacks_[wanted.id] = std::move(callback);
   dispatch(ownerOf(shard, now).requestGrant(std::move(wanted), now));
 }
 
@@ -75,7 +76,7 @@
 }
 
 void ShardOwners::release(const ShardKey& shard, GrantId id, GrantEnd end, Instant now) {
-  sinks_.erase(id);
+  callbacks_.erase(id);
   const auto it = owners_.find(shard);
   if (it != owners_.end()) dispatch(it->second->release(id, end, now));
 }
@@ -102,11 +103,11 @@
 
 void ShardOwners::dispatch(const std::vector<GrantAction>& actions) {
   for (const GrantAction& action : actions) {
-    const auto it = sinks_.find(idOf(action));
-    if (it == sinks_.end()) continue;
-    // The sink may release its grant, which erases it here.
-    const Sink sink = it->second;
-    sink(action);
+    const auto it = callbacks_.find(grantIdOf(action));
+    if (it == callbacks_.end()) continue;
+    // Copied, since the callback may release its grant, which erases the entry.
+    const GrantCallback callback = it->second;
+    callback(action);
   }
 }
 
--- a/Hallchute/src/Daemon/ShardOwners.h
+++ b/Hallchute/src/Daemon/ShardOwners.h
@@ -17,17 +17,19 @@
 class SettingsStore;
 class UpstreamDirectory;
 
-/// \brief The shards that this daemon owns, or is asked for all the same. Loop thread only.
+/// \brief The owners of all shards for which this daemon receives grant requests. Event loop thread
+/// only.
 /// \ingroup Daemon
 ///
-/// A shard is served whoever asks: while daemons disagree on the members, two may own a shard for a
-/// moment, which costs load and nothing else.
+/// Requests are served even if this daemon does not consider itself the shard's owner: while
+/// daemons disagree on the members, two may own a shard for a short time, which adds load
+/// but is otherwise harmless.
 class ShardOwners {
  public:
-  using Sink = std::function<void(const GrantAction&)>;
+  using GrantCallback = std::function<void(const GrantAction&)>;
 
-  /// \brief The index of the shard of all upstreams of a domain on which a daemon decides alone
-  /// while no owner answers.
+  /// \brief Index of the fallback shard, which holds all upstreams of a domain: a daemon grants
+  /// from it locally while no owner answers.
   static constexpr std::uint32_t kAlone = UINT32_MAX;
 
   ShardOwners(const SettingsStore& settings, const UpstreamDirectory& directory);
@@ -36,16 +38,19 @@
   ShardOwners& operator=(const ShardOwners&) = delete;
 
   GrantId newId() { return nextId_++; }
-  /// \brief Asks for a place; \p sink is told each action until release().
-  void requestGrant(const ShardKey& shard, GrantRequest wanted, Sink sink, Instant now);
+  /// \brief Requests a slot at an upstream; \p callback receives every action until release().
+  void requestGrant(const ShardKey& shard, GrantRequest wanted, GrantCallback callback,
+                    Instant now);
+  /// \brief Restores a grant that a previous owner made.
   void hold(const ShardKey& shard, const ExistingGrant& held, Instant now);
   void release(const ShardKey& shard, GrantId id, GrantEnd end, Instant now);
   void noteFirstToken(const ShardKey& shard, GrantId id, Instant now);
-  /// \brief The upstreams or the settings have changed.
+  /// \brief Applies the current upstreams and settings to all owners.
   void refresh(Instant now);
   void tick(Instant now);
-  /// \brief Daemons that share a domain's upstreams, for the share of one that decides alone.
-  void setSharers(std::size_t sharers) { sharers_ = sharers; }
+  /// \brief Sets the number of daemons that share the domain's upstreams: each may use that
+  /// fraction of their concurrency in its fallback shard.
+  void setSharers(std::size_t daemonCount) { daemonCount_ = daemonCount; }
 
   struct Load {
     ShardKey shard;
@@ -64,9 +69,9 @@
   const SettingsStore& settings_;
   const UpstreamDirectory& directory_;
   std::map<ShardKey, std::unique_ptr<ShardOwner>> owners_;
-  std::map<GrantId, Sink> sinks_;
+  std::map<GrantId, GrantCallback> callbacks_;
   GrantId nextId_ = 1;
-  std::size_t sharers_ = 1;
+  std::size_t daemonCount_ = 1;
 };
 
 }  // namespace Hallchute
--- a/Hallchute/src/Daemon/TrafficContext.h
+++ b/Hallchute/src/Daemon/TrafficContext.h
@@ -21,7 +21,7 @@
 class RetryBudgets;
 class SettingsStore;
 
-/// \brief What traffic threads may use of the daemon. All of it is safe from any thread.
+/// \brief The parts of the daemon that request threads use. All members are thread-safe.
 /// \ingroup Daemon
 struct TrafficContext {
   DaemonId daemon;
@@ -33,11 +33,11 @@
   PlatformPort& platform;
   PlatformHealth& health;
   RetryBudgets& budgets;
-  /// Gets a place at an upstream; blocks.
+  /// Acquires a slot at an upstream; blocks.
   std::function<GrantOutcome(const GrantSpec&)> acquire;
-  /// Tells control that an upstream said it leaves.
+  /// Reports to the control thread that an upstream announced its leave.
   std::function<void(const LeaveAnnouncement&)> noteLeave;
-  /// Whether a daemon may still live, as far as is known here.
+  /// Whether a daemon may still be alive, as far as this daemon knows.
   std::function<bool(const DaemonId&)> mayBeAlive;
 };
 
