--- a/Hallchute/src/Daemon/PlatformFollower.h
+++ b/Hallchute/src/Daemon/PlatformFollower.h
@@ -23,7 +23,7 @@
 /// \ingroup Daemon
 ///
 /// Two daemons of each failure domain watch the platform; the others receive updates from them by
-/// gossip. Every daemon reads the full state at startup and whenever it becomes a watcher.
+/// gossip. Every daemon reads once at startup and whenever it becomes a watcher.
 class PlatformFollower {
  public:
   PlatformFollower(PlatformPort& platform, SettingsEditor& editor, Control& control,
