--- a/Hallchute/src/Daemon/Daemon.cpp
+++ b/Hallchute/src/Daemon/Daemon.cpp
@@ -49,7 +49,7 @@
       services_{context_, starter_, records_, peers_, keeper_},
       callers_(services_, startup_.callerListen, startup_.maxCallers),
       editor_(platform_, settings_,
-              [this](const SettingsChange& change) { control_.learnChange(change); }),
+              [this](const SettingsChange& change) { control_.applyChange(change); }),
       follower_(platform_, editor_, control_, health_, metrics_),
       operatorServices_(operatorServices()),
       operators_(operatorServices_, startup_.operatorListen) {
@@ -103,7 +103,7 @@
     limit = *stopLimit_;
   }
   Drain(services_, control_, callers_).run(limit, hurry_);
-  for (const JobPtr& job : jobs_.running()) job->orderCancel();
+  for (const JobPtr& job : jobs_.running()) job->requestCancel();
   starter_.waitIdle(limit + kReclaimMargin);
   keeping_ = false;
   keeperThread_.join();
@@ -124,7 +124,7 @@
     if (membersChanged_.exchange(false)) adoptUntil = now + kAdoptAfterChange;
     if (!services_.draining && (now < adoptUntil || now >= nextAdopt)) {
       nextAdopt = now + kAdoptPeriod;
-      if (control_.hasDuty("adopt", kAdopters)) adoptOrphans();
+      if (control_.isResponsibleFor("adopt", kAdopters)) adoptOrphans();
     }
     std::this_thread::sleep_for(kKeepPeriod);
   }
--- a/Hallchute/src/Daemon/GrantBroker.cpp
+++ b/Hallchute/src/Daemon/GrantBroker.cpp
@@ -259,7 +259,7 @@
                          RunOutcome::notRun, kNoUpstreamRetryAfter});
     return;
   }
-  auto hold = std::make_unique<GrantHold>(
+  auto hold = std::make_unique<ScopedGrant>(
       upstream, info->host.address,
       [this, key = active->key] { loop_.post([this, key] { noteFirstToken(key); }); },
       [this, key = active->key](GrantEnd end) {
--- a/Hallchute/src/Daemon/JobRecords.cpp
+++ b/Hallchute/src/Daemon/JobRecords.cpp
@@ -57,7 +57,7 @@
   return false;
 }
 
-void JobRecords::noteHandOver(const Job& job, const DaemonId& peer) {
+void JobRecords::recordHandOver(const Job& job, const DaemonId& peer) {
   const std::string key = requestKey(job.spec().request);
   Kept kept;
   {
@@ -74,7 +74,7 @@
   logLine(LogLevel::warning, "the hand-over of " + job.spec().request.str() + " has no record");
 }
 
-void JobRecords::takeOverSoon(const RequestId& request) {
+void JobRecords::scheduleTakeOver(const RequestId& request) {
   const std::lock_guard lock(mutex_);
   toTakeOver_.push_back(request);
 }
@@ -91,7 +91,7 @@
   } else if (create(*job)) {
     return;
   }
-  takeOverSoon(request);
+  scheduleTakeOver(request);
 }
 
 void JobRecords::checkpoint() {
@@ -216,7 +216,7 @@
                  RunOutcome::unknown, kPlatformRetryAfter};
 }
 
-std::size_t JobRecords::unsaved() const {
+std::size_t JobRecords::unsavedCount() const {
   const std::lock_guard lock(mutex_);
   return kept_.size();
 }
--- a/Hallchute/src/Daemon/OperatorHandler.cpp
+++ b/Hallchute/src/Daemon/OperatorHandler.cpp
@@ -214,7 +214,7 @@
       queryParameter(uri, "inMs", std::to_string(kDefaultLeaveMs)).c_str(), nullptr, 10));
   const LeaveAnnouncement announcement{UpstreamId(upstream), timeLeft,
                                        LeaveSource::operatorRequest};
-  const bool acknowledged = services_.control.noteLeaveAndSpread(announcement, kLeaveAckTimeout);
+  const bool acknowledged = services_.control.noteLeaveAndAwaitAck(announcement, kLeaveAckTimeout);
   return {202, "application/json",
           messageJson(upstream + " is leaving" +
                       (acknowledged ? "" : "; no other daemon has acknowledged it yet"))};
--- a/Hallchute/src/Daemon/PlainRunner.cpp
+++ b/Hallchute/src/Daemon/PlainRunner.cpp
@@ -50,7 +50,7 @@
   return context_.acquire(spec);
 }
 
-PlainResult PlainRunner::callUpstream(GrantHold& hold) {
+PlainResult PlainRunner::callUpstream(ScopedGrant& hold) {
   const PolicyScope scope{context_.domain, job_.service, job_.organisation->name};
   const Millis connectLimit(context_.settings.get()->tree.policy(PolicyKey::connectLimitMs, scope));
   PlainServiceHttp service(hold.address(), context_.ownIp, connectLimit);
@@ -77,7 +77,7 @@
       if (lastFailure.outcome != RunOutcome::notRun) refusal->outcome = lastFailure.outcome;
       return *refusal;
     }
-    GrantHold& hold = *std::get<std::unique_ptr<GrantHold>>(grant);
+    ScopedGrant& hold = *std::get<std::unique_ptr<ScopedGrant>>(grant);
     const PlainResult result = callUpstream(hold);
     if (const auto* answer = std::get_if<PlainAnswer>(&result)) {
       if (!answer->leaving) {
@@ -103,7 +103,7 @@
 PlainOutcome PlainRunner::runOnce() {
   GrantOutcome grant = acquire();
   if (const auto* refusal = std::get_if<Refusal>(&grant)) return *refusal;
-  auto hold = std::move(std::get<std::unique_ptr<GrantHold>>(grant));
+  auto hold = std::move(std::get<std::unique_ptr<ScopedGrant>>(grant));
   const std::string key = onceKey(job_.organisation->name, job_.idempotencyKey);
   OnceRecord record;
   record.attempt = randomName();
@@ -142,7 +142,7 @@
 
 /// Sends the request at most once: tries another upstream only if no byte can have reached the
 /// previous one.
-OnceEvent PlainRunner::dispatchOnce(std::unique_ptr<GrantHold> hold) {
+OnceEvent PlainRunner::dispatchOnce(std::unique_ptr<ScopedGrant> hold) {
   for (;;) {
     if (remainingTime() <= Millis(0))
       return DispatchNeverSent{"requestLimitMs passed before it was sent"};
@@ -166,7 +166,7 @@
     if (!context_.budgets.tryConsumeRetry(job_.service)) return DispatchNeverSent{detail};
     GrantOutcome next = acquire();
     if (std::holds_alternative<Refusal>(next)) return DispatchNeverSent{detail};
-    hold = std::move(std::get<std::unique_ptr<GrantHold>>(next));
+    hold = std::move(std::get<std::unique_ptr<ScopedGrant>>(next));
   }
 }
 
--- a/Hallchute/src/Daemon/PlainRunner.h
+++ b/Hallchute/src/Daemon/PlainRunner.h
@@ -50,8 +50,8 @@
   PlainOutcome runRepeatable();
   PlainOutcome runOnce();
   GrantOutcome acquire();
-  PlainResult callUpstream(GrantHold& hold);
-  OnceEvent dispatchOnce(std::unique_ptr<GrantHold> hold);
+  PlainResult callUpstream(ScopedGrant& hold);
+  OnceEvent dispatchOnce(std::unique_ptr<ScopedGrant> hold);
   void reportLeaving(const UpstreamId& upstream);
   Millis remainingTime() const;
 
--- a/Hallchute/src/Daemon/PlatformFollower.cpp
+++ b/Hallchute/src/Daemon/PlatformFollower.cpp
@@ -57,7 +57,7 @@
 }
 
 bool PlatformFollower::isWatcher() {
-  return control_.hasDuty("watch", kWatchersPerDomain);
+  return control_.isResponsibleFor("watch", kWatchersPerDomain);
 }
 
 void PlatformFollower::countCall(std::string_view kind) {
@@ -96,7 +96,7 @@
     for (const StoredObject& object : done->value.objects) {
       Findings findings;
       const SettingsChange change = parseChange(object.value, findings);
-      if (change.number != 0) control_.learnChange(change);
+      if (change.number != 0) control_.applyChange(change);
     }
     if (!done->value.objects.empty()) loadSettings();
   }
@@ -110,7 +110,7 @@
   Findings findings;
   const JsonObject json = parseJsonObject(done->value.value, findings);
   if (!json || !json->getObject("settings")) return;
-  control_.learnSnapshot(json->optValue<std::uint64_t>("revision", 0), json->getObject("settings"));
+  control_.applySnapshot(json->optValue<std::uint64_t>("revision", 0), json->getObject("settings"));
 }
 
 bool PlatformFollower::loadSettings() {
@@ -121,7 +121,7 @@
     const auto reply = editor_.history(before, kPageSize);
     const auto* done = std::get_if<Done<std::vector<SettingsChange>>>(&reply);
     if (!recordReply(done != nullptr)) return false;
-    for (const SettingsChange& change : done->value) control_.learnChange(change);
+    for (const SettingsChange& change : done->value) control_.applyChange(change);
     if (done->value.size() < kPageSize || control_.revision() == before) return true;
   }
 }
@@ -173,7 +173,7 @@
       const auto reply = platform_.hosts();
       const auto* done = std::get_if<Done<HostList>>(&reply);
       answered = recordReply(done != nullptr);
-      if (answered) control_.learnHosts(done->value);
+      if (answered) control_.updateHosts(done->value);
       sinceLastPoll = answered ? Millis(0) : kNonWatcherHostPollPeriod;
     }
     const Millis period = answered ? kHostPollPeriod : kRetryDelay;
