--- a/Hallchute/src/Daemon/Drain.cpp
+++ b/Hallchute/src/Daemon/Drain.cpp
@@ -13,7 +13,7 @@
 #include "Hallchute/src/Daemon/JobRecords.h"
 #include "Hallchute/src/Daemon/JobStarter.h"
 #include "Hallchute/src/Daemon/JobTable.h"
-#include "Hallchute/src/Daemon/OnceKeeper.h"
+#include "Hallchute/src/Daemon/OnceRecordStore.h"
 #include "Hallchute/src/Daemon/PeerJobs.h"
 #include "Hallchute/src/Daemon/TrafficContext.h"
 #include "Hallchute/src/Net/Clock.h"
--- a/Hallchute/src/Daemon/GrantBroker.cpp
+++ b/Hallchute/src/Daemon/GrantBroker.cpp
@@ -128,7 +128,7 @@
   const std::vector<DaemonId> ranked = rankOwners(shard.text(), membership_.owners(shard.domain));
   if (pending->ownersTried >= std::min(kMaxOwnersTried, ranked.size())) {
     if (isOwnDomain) {
-      shard.index = ShardOwners::kAlone;
+      shard.index = ShardOwners::kFallbackIndex;
       metrics_.add("hallchute_grants_alone_total", "");
       requestLocally(pending, shard);
       return;
@@ -292,9 +292,9 @@
 }
 
 void GrantBroker::onOwnersChanged() {
-  owners_.setSharers(membership_.owners(membership_.self().domain).size());
+  owners_.setDaemonCount(membership_.owners(membership_.self().domain).size());
   for (const auto& [key, active] : activeGrants_) {
-    if (active->shard.index == ShardOwners::kAlone) continue;
+    if (active->shard.index == ShardOwners::kFallbackIndex) continue;
     const auto owner = ownerOf(active->shard);
     if (!owner || *owner == active->owner) continue;
     if (active->localId != 0) {
--- a/Hallchute/src/Daemon/JobRecords.cpp
+++ b/Hallchute/src/Daemon/JobRecords.cpp
@@ -188,7 +188,7 @@
     const auto reply = context_.platform.list(kRequestPrefix, after, kListPageSize);
     const auto* done = std::get_if<Done<ObjectList>>(&reply);
     if (done == nullptr) return claimed;
-    context_.health.noteAnswer(now);
+    context_.health.recordAnswer(now);
     for (const StoredObject& object : done->value.objects) {
       after = object.key;
       Findings findings;
--- a/Hallchute/src/Daemon/OnceKeeper.h
+++ b/Hallchute/src/Daemon/OnceRecordStore.h
@@ -1,8 +1,8 @@
 // This file is part of hallchute, a serving system for language models.
 // SPDX-License-Identifier: Apache-2.0
 
-#ifndef HALLCHUTE_DAEMON_ONCEKEEPER_H
-#define HALLCHUTE_DAEMON_ONCEKEEPER_H
+#ifndef HALLCHUTE_DAEMON_ONCERECORDSTORE_H
+#define HALLCHUTE_DAEMON_ONCERECORDSTORE_H
 
 #include <cstdint>
 #include <deque>
@@ -22,11 +22,11 @@
 /// Outcomes that could not be stored are kept in memory, at most kMaxPending of them, and retried
 /// by flush(); beyond the limit the oldest is dropped. If the daemon dies before one is stored, a
 /// retry by the caller is correctly answered with an unknown outcome.
-class OnceKeeper {
+class OnceRecordStore {
  public:
   static constexpr std::size_t kMaxPending = 10'000;
 
-  explicit OnceKeeper(TrafficContext& context);
+  explicit OnceRecordStore(TrafficContext& context);
   OnceEvent write(const std::string& key, const OnceRecord& record, std::uint64_t ifVersion);
   OnceEvent read(const std::string& key);
   /// \brief Queues \p record to be stored by flush().
@@ -50,4 +50,4 @@
 
 }  // namespace Hallchute
 
-#endif  // HALLCHUTE_DAEMON_ONCEKEEPER_H
+#endif  // HALLCHUTE_DAEMON_ONCERECORDSTORE_H
--- a/Hallchute/src/Daemon/PlainRunner.cpp
+++ b/Hallchute/src/Daemon/PlainRunner.cpp
@@ -7,7 +7,7 @@
 
 #include "Hallchute/src/Core/Overloaded.h"
 #include "Hallchute/src/Core/SecretHash.h"
-#include "Hallchute/src/Daemon/OnceKeeper.h"
+#include "Hallchute/src/Daemon/OnceRecordStore.h"
 #include "Hallchute/src/Daemon/RandomName.h"
 #include "Hallchute/src/Daemon/RetryBudgets.h"
 #include "Hallchute/src/Daemon/SettingsStore.h"
@@ -27,7 +27,7 @@
 
 }  // namespace
 
-PlainRunner::PlainRunner(TrafficContext& context, OnceKeeper& onceRecords, PlainJob job)
+PlainRunner::PlainRunner(TrafficContext& context, OnceRecordStore& onceRecords, PlainJob job)
     : context_(context), onceRecords_(onceRecords), job_(std::move(job)) {}
 
 PlainOutcome PlainRunner::run() {
--- a/Hallchute/src/Daemon/PlainRunner.h
+++ b/Hallchute/src/Daemon/PlainRunner.h
@@ -18,7 +18,7 @@
 
 namespace Hallchute {
 
-class OnceKeeper;
+class OnceRecordStore;
 struct TrafficContext;
 
 /// \brief An admitted call to a plain service.
@@ -43,7 +43,7 @@
 /// \ingroup Daemon
 class PlainRunner {
  public:
-  PlainRunner(TrafficContext& context, OnceKeeper& onceRecords, PlainJob job);
+  PlainRunner(TrafficContext& context, OnceRecordStore& onceRecords, PlainJob job);
   PlainOutcome run();
 
  private:
@@ -56,7 +56,7 @@
   Millis remainingTime() const;
 
   TrafficContext& context_;
-  OnceKeeper& onceRecords_;
+  OnceRecordStore& onceRecords_;
   PlainJob job_;
   std::vector<UpstreamId> excludedUpstreams_;
 };
--- a/Hallchute/src/Daemon/PlatformHealth.h
+++ b/Hallchute/src/Daemon/PlatformHealth.h
@@ -19,7 +19,7 @@
 /// \ingroup Daemon
 class PlatformHealth {
  public:
-  void noteAnswer(Instant now) { lastAnswer_ = now.time_since_epoch().count(); }
+  void recordAnswer(Instant now) { lastAnswer_ = now.time_since_epoch().count(); }
   /// \brief Fresh up to 12 s after an answer, stale up to 30 s, then expired.
   Freshness freshness(Instant now) const;
 
--- a/Hallchute/src/Daemon/ShardOwners.cpp
+++ b/Hallchute/src/Daemon/ShardOwners.cpp
@@ -41,7 +41,7 @@
   policy.aging = Millis(number(PolicyKey::agingMs));
   policy.choice =
       PrefixAffinity{static_cast<double>(number(PolicyKey::loadBoundPercent)) / kPercent};
-  if (shard.index == kAlone) {
+  if (shard.index == kFallbackIndex) {
     policy.maxInFlightPerUpstream = std::max<std::size_t>(
         1, policy.maxInFlightPerUpstream / std::max<std::size_t>(1, daemonCount_));
   }
@@ -50,7 +50,7 @@
 
 std::vector<UpstreamId> ShardOwners::upstreamsOf(const ShardKey& shard) const {
   std::vector<UpstreamId> live = directory_.live(shard.service, shard.domain);
-  if (shard.index == kAlone) return live;
+  if (shard.index == kFallbackIndex) return live;
   const std::uint32_t count = shardCount(live.size());
   std::erase_if(live, [&](const UpstreamId& id) { return shardOf(id, count) != shard.index; });
   return live;
--- a/Hallchute/src/Daemon/ShardOwners.h
+++ b/Hallchute/src/Daemon/ShardOwners.h
@@ -30,7 +30,7 @@
 
   /// \brief Index of the fallback shard, which holds all upstreams of a domain: a daemon grants
   /// from it locally while no owner answers.
-  static constexpr std::uint32_t kAlone = UINT32_MAX;
+  static constexpr std::uint32_t kFallbackIndex = UINT32_MAX;
 
   ShardOwners(const SettingsStore& settings, const UpstreamDirectory& directory);
   ~ShardOwners();
@@ -50,7 +50,7 @@
   void tick(Instant now);
   /// \brief Sets the number of daemons that share the domain's upstreams: each may use that
   /// fraction of their concurrency in its fallback shard.
-  void setSharers(std::size_t daemonCount) { daemonCount_ = daemonCount; }
+  void setDaemonCount(std::size_t daemonCount) { daemonCount_ = daemonCount; }
 
   struct Load {
     ShardKey shard;
