--- a/Hallchute/src/Front/FrontConnection.cpp
+++ b/Hallchute/src/Front/FrontConnection.cpp
@@ -14,34 +14,34 @@
 namespace Hallchute {
 namespace {
 
-/// Bytes that a caller may send ahead while its request is being answered.
-constexpr std::size_t kReadAhead = 64U << 10U;
-/// How long a closing connection waits for the caller to close it too: closing a socket with
-/// unread bytes resets it, and the last answer may be lost with it.
-constexpr Millis kLinger{1'000};
-/// What a caller that doesn't read may hold of an answer.
-constexpr std::size_t kMostUnsent = 8U << 20U;
+/// Bytes that a caller may pipeline while a response to it is in progress.
+constexpr std::size_t kMaxReadAheadBytes = 64U << 10U;
+/// How long a closing connection waits for the caller to close its side (lingering close): closing
+/// a socket with unread bytes resets the connection, and the last response may be lost.
+constexpr Millis kLingerTime{1'000};
+/// Response bytes buffered for a caller that doesn't read.
+constexpr std::size_t kMaxUnsentBytes = 8U << 20U;
 constexpr std::string_view kContinue = "HTTP/1.1 100 Continue\r\n\r\n";
 constexpr int kBadRequest = 400;
 constexpr int kRequestTimeout = 408;
-constexpr int kTooLarge = 413;
-constexpr int kHeadTooLarge = 431;
-/// No answer is sent: the connection was idle.
-constexpr int kNoAnswer = 0;
+constexpr int kContentTooLarge = 413;
+constexpr int kHeaderFieldsTooLarge = 431;
+/// A timer status: close without a response, as no request is in progress.
+constexpr int kNoResponse = 0;
 
 }  // namespace
 
 FrontConnection::FrontConnection(FrontServer& server, std::uint64_t id,
                                  const Poco::Net::StreamSocket& socket)
-    : server_(server), id_(id), channel_(server.loop(), socket, *this), reader_(freshReader()) {
-  setTimer(server_.limits().idleTime, kNoAnswer);
+    : server_(server), id_(id), channel_(server.loop(), socket, *this), reader_(makeReader()) {
+  setTimer(server_.limits().idleTime, kNoResponse);
 }
 
 FrontConnection::~FrontConnection() {
   stopTimer();
 }
 
-HttpReader FrontConnection::freshReader() const {
+HttpReader FrontConnection::makeReader() const {
   const FrontLimits& limits = server_.limits();
   return {HttpSide::requests, {limits.headBytes, limits.bodyBytes}};
 }
@@ -61,10 +61,10 @@
 void FrontConnection::timeOut(int status) {
   if (phase_ == Phase::closing) {
     remove();
-  } else if (status == kNoAnswer) {
+  } else if (status == kNoResponse) {
     startClosing();
   } else {
-    refuse(status);
+    reject(status);
   }
 }
 
@@ -75,36 +75,37 @@
 
 void FrontConnection::channelBytes(std::string_view bytes) {
   if (phase_ == Phase::closing) return;
-  in_.append(bytes);
-  if (phase_ != Phase::answering) {
+  receiveBuffer_.append(bytes);
+  if (phase_ != Phase::responding) {
     readRequests();
-  } else if (in_.size() > kReadAhead) {
-    dropCaller();
+  } else if (receiveBuffer_.size() > kMaxReadAheadBytes) {
+    dropConnection();
   }
 }
 
 void FrontConnection::channelEnded(ChannelEnd) {
-  tellCallerLeft();
+  notifyCallerDisconnected();
   remove();
 }
 
-/// Answers may come within the handler: the loop here takes the next request, not a recursion.
+/// A handler may respond synchronously: this loop then reads the next request, instead of a
+/// recursive call.
 void FrontConnection::readRequests() {
-  if (reading_) return;
-  reading_ = true;
-  while (!in_.empty() && (phase_ == Phase::idle || phase_ == Phase::reading)) {
+  if (parsing_) return;
+  parsing_ = true;
+  while (!receiveBuffer_.empty() && (phase_ == Phase::idle || phase_ == Phase::reading)) {
     if (phase_ == Phase::idle) {
       phase_ = Phase::reading;
       setTimer(server_.limits().headTime, kRequestTimeout);
     }
-    const HttpProgress progress = reader_.read(in_);
-    noteProgress(progress);
+    const HttpProgress progress = reader_.read(receiveBuffer_);
+    handleProgress(progress);
     if (progress == HttpProgress::needsMore) break;
   }
-  reading_ = false;
+  parsing_ = false;
 }
 
-void FrontConnection::noteProgress(HttpProgress progress) {
+void FrontConnection::handleProgress(HttpProgress progress) {
   switch (progress) {
     case HttpProgress::needsMore:
       if (!reader_.hasHead()) return;
@@ -118,23 +119,23 @@
       dispatch();
       return;
     case HttpProgress::headTooLarge:
-      refuse(kHeadTooLarge);
+      reject(kHeaderFieldsTooLarge);
       return;
     case HttpProgress::bodyTooLarge:
-      refuse(kTooLarge);
+      reject(kContentTooLarge);
       return;
     case HttpProgress::malformed:
-      refuse(kBadRequest);
+      reject(kBadRequest);
       return;
   }
 }
 
 void FrontConnection::dispatch() {
   stopTimer();
-  phase_ = Phase::answering;
+  phase_ = Phase::responding;
   HttpHead head = reader_.head();
   reusable_ = head.keepAlive;
-  headRequest_ = head.method == "HEAD";
+  isHeadRequest_ = head.method == "HEAD";
   chunked_ = head.version >= 11;
   exchange_ =
       std::make_shared<FrontExchange>(*this, std::move(head), reader_.takeBody(), clockNow());
@@ -142,34 +143,36 @@
   server_.handler().handle(exchange);
 }
 
-void FrontConnection::refuse(int status) {
+void FrontConnection::reject(int status) {
   reusable_ = false;
-  server_.noteRefused(status);
+  server_.countRejected(status);
   HttpFields fields;
-  channel_.send(answerBytes(status, fields, "", AfterAnswer::close));
+  channel_.send(responseBytes(status, fields, "", ConnectionPersistence::close));
   startClosing();
 }
 
-AfterAnswer FrontConnection::afterAnswer() const {
-  return reusable_ && !server_.draining() ? AfterAnswer::keep : AfterAnswer::close;
+ConnectionPersistence FrontConnection::connectionPersistence() const {
+  return reusable_ && !server_.draining() ? ConnectionPersistence::keep
+                                          : ConnectionPersistence::close;
 }
 
 void FrontConnection::answer(int status, const HttpFields& fields, std::string_view body) {
-  const AfterAnswer after = afterAnswer();
-  reusable_ = after == AfterAnswer::keep;
-  channel_.send(answerBytes(status, fields, body, after, !headRequest_));
-  answerEnded();
+  const ConnectionPersistence persistence = connectionPersistence();
+  reusable_ = persistence == ConnectionPersistence::keep;
+  channel_.send(responseBytes(status, fields, body, persistence, !isHeadRequest_));
+  finishResponse();
 }
 
 void FrontConnection::startPieces(int status, const HttpFields& fields) {
-  // A caller of HTTP/1.0 knows no chunks: the end of the connection ends its answer.
-  const AfterAnswer after = chunked_ ? afterAnswer() : AfterAnswer::close;
-  reusable_ = after == AfterAnswer::keep;
+  // HTTP/1.0 has no chunked encoding: closing the connection ends the body.
+  const ConnectionPersistence persistence =
+      chunked_ ? connectionPersistence() : ConnectionPersistence::close;
+  reusable_ = persistence == ConnectionPersistence::keep;
   if (chunked_) {
-    channel_.send(chunkedHeadBytes(status, fields, after));
+    channel_.send(chunkedHeadBytes(status, fields, persistence));
     return;
   }
-  std::string head = answerBytes(status, fields, "", after, false);
+  std::string head = responseBytes(status, fields, "", persistence, false);
   const std::string_view length = "Content-Length: 0\r\n";
   head.erase(head.find(length), length.size());
   channel_.send(head);
@@ -178,19 +181,19 @@
 void FrontConnection::sendPiece(std::string_view bytes) {
   if (bytes.empty()) return;
   channel_.send(chunked_ ? chunkBytes(bytes) : std::string(bytes));
-  if (channel_.unsent() <= kMostUnsent) return;
-  dropCaller();
+  if (channel_.unsent() <= kMaxUnsentBytes) return;
+  dropConnection();
 }
 
-/// Ends the connection with a caller that breaks the bounds; whoever answers hears that it left.
-void FrontConnection::dropCaller() {
+/// Resets the connection of a caller that exceeds a buffer limit and notifies the handler.
+void FrontConnection::dropConnection() {
   phase_ = Phase::closing;
   channel_.abort();
-  setTimer(Millis(0), kNoAnswer);
-  tellCallerLeft();
+  setTimer(Millis(0), kNoResponse);
+  notifyCallerDisconnected();
 }
 
-void FrontConnection::tellCallerLeft() {
+void FrontConnection::notifyCallerDisconnected() {
   const auto exchange = std::exchange(exchange_, nullptr);
   if (exchange == nullptr) return;
   exchange->connection_ = nullptr;
@@ -199,23 +202,24 @@
 
 void FrontConnection::endPieces() {
   if (chunked_) channel_.send(kLastChunk);
-  answerEnded();
+  finishResponse();
 }
 
 void FrontConnection::breakOff() {
   exchange_ = nullptr;
   reusable_ = false;
-  // Without its last chunk an answer is seen to be incomplete, and what was sent still arrives.
-  if (chunked_ && phase_ == Phase::answering) {
+  // Without the last chunk the caller detects the truncation, and the bytes sent are still
+  // delivered.
+  if (chunked_ && phase_ == Phase::responding) {
     startClosing();
     return;
   }
   phase_ = Phase::closing;
   channel_.abort();
-  setTimer(Millis(0), kNoAnswer);
+  setTimer(Millis(0), kNoResponse);
 }
 
-void FrontConnection::answerEnded() {
+void FrontConnection::finishResponse() {
   exchange_ = nullptr;
   if (!reusable_) {
     startClosing();
@@ -223,16 +227,16 @@
   }
   phase_ = Phase::idle;
   continueSent_ = false;
-  reader_ = freshReader();
-  setTimer(server_.limits().idleTime, kNoAnswer);
+  reader_ = makeReader();
+  setTimer(server_.limits().idleTime, kNoResponse);
   readRequests();
 }
 
 void FrontConnection::startClosing() {
   phase_ = Phase::closing;
-  in_.clear();
-  channel_.finishSending();
-  setTimer(kLinger, kNoAnswer);
+  receiveBuffer_.clear();
+  channel_.shutdownSend();
+  setTimer(kLingerTime, kNoResponse);
 }
 
 void FrontConnection::closeIfIdle() {
--- a/Hallchute/src/Front/FrontConnection.h
+++ b/Hallchute/src/Front/FrontConnection.h
@@ -17,21 +17,21 @@
 class FrontExchange;
 class FrontServer;
 
-/// \brief One caller's connection: reads whole requests, one at a time, and writes answers.
+/// \brief A caller's connection: reads complete requests, one at a time, and writes responses.
 /// \ingroup Front
 ///
-/// A connection whose bytes can't be trusted gets one last answer and no further request is read
-/// from it: what follows a faulty or half-read request is never taken for another one.
+/// After a malformed or partially read request the connection sends one error response and closes:
+/// the bytes that follow must never be parsed as another request (request smuggling).
 class FrontConnection final : public TcpChannelOwner {
  public:
   FrontConnection(FrontServer& server, std::uint64_t id, const Poco::Net::StreamSocket& socket);
   ~FrontConnection() override;
 
-  /// \brief Closes the connection if no request is under way.
+  /// \brief Closes the connection if no request is in progress.
   void closeIfIdle();
   bool busy() const { return exchange_ != nullptr; }
 
-  // For FrontExchange.
+  // Called by FrontExchange.
   void answer(int status, const HttpFields& fields, std::string_view body);
   void startPieces(int status, const HttpFields& fields);
   void sendPiece(std::string_view bytes);
@@ -42,36 +42,36 @@
   void channelEnded(ChannelEnd end) override;
 
  private:
-  enum class Phase { idle, reading, answering, closing };
+  enum class Phase { idle, reading, responding, closing };
 
-  HttpReader freshReader() const;
+  HttpReader makeReader() const;
   void readRequests();
-  void noteProgress(HttpProgress progress);
+  void handleProgress(HttpProgress progress);
   void dispatch();
-  void refuse(int status);
-  void answerEnded();
+  void reject(int status);
+  void finishResponse();
   void startClosing();
-  void dropCaller();
-  void tellCallerLeft();
+  void dropConnection();
+  void notifyCallerDisconnected();
   void setTimer(Millis delay, int status);
   void stopTimer();
   void timeOut(int status);
   void remove();
-  AfterAnswer afterAnswer() const;
+  ConnectionPersistence connectionPersistence() const;
 
   FrontServer& server_;
   std::uint64_t id_;
   TcpChannel channel_;
   Phase phase_ = Phase::idle;
   HttpReader reader_;
-  std::string in_;
+  std::string receiveBuffer_;
   std::shared_ptr<FrontExchange> exchange_;
   std::uint64_t timer_ = 0;
   bool reusable_ = true;
-  bool headRequest_ = false;
+  bool isHeadRequest_ = false;
   bool chunked_ = true;
   bool continueSent_ = false;
-  bool reading_ = false;
+  bool parsing_ = false;
 };
 
 }  // namespace Hallchute
--- a/Hallchute/src/Front/FrontExchange.h
+++ b/Hallchute/src/Front/FrontExchange.h
@@ -15,10 +15,10 @@
 
 class FrontConnection;
 
-/// \brief One request of a caller and its answer. Traffic thread only.
+/// \brief A request of a caller and its response. Traffic thread only.
 /// \ingroup Front
 ///
-/// After the caller left, everything sent here goes nowhere.
+/// After the caller has disconnected, all calls that send are ignored.
 class FrontExchange {
  public:
   FrontExchange(FrontConnection& connection, HttpHead head, std::string body, Instant arrived);
@@ -27,21 +27,21 @@
 
   const HttpHead& head() const { return head_; }
   const std::string& body() const { return body_; }
-  /// \brief When the request was whole.
+  /// \brief When the request was completely received.
   Instant arrived() const { return arrived_; }
 
-  /// \brief Sends the whole answer.
+  /// \brief Sends a complete response.
   void answer(int status, const HttpFields& fields, std::string_view body);
-  /// \brief Sends the head of an answer whose body comes in pieces.
+  /// \brief Sends the head of a response whose body is streamed.
   void startPieces(int status, const HttpFields& fields);
   void sendPiece(std::string_view bytes);
-  /// \brief Ends the answer as complete.
+  /// \brief Ends a streamed response as complete.
   void endPieces();
-  /// \brief Ends the connection so that the answer can't be taken for complete.
+  /// \brief Ends the connection in a way that shows the caller that the response is incomplete.
   void breakOff();
 
   bool callerLeft() const { return connection_ == nullptr; }
-  /// \brief Called at once when the caller closes its connection before the answer ended.
+  /// \brief Called immediately when the caller disconnects before the response has ended.
   std::function<void()> onCallerLeft;
 
  private:
@@ -50,7 +50,7 @@
   HttpHead head_;
   std::string body_;
   Instant arrived_;
-  /// Null after the answer ended or the caller left.
+  /// Null after the response has ended or the caller has disconnected.
   FrontConnection* connection_;
 };
 
--- a/Hallchute/src/Front/FrontHandler.h
+++ b/Hallchute/src/Front/FrontHandler.h
@@ -10,7 +10,7 @@
 
 class FrontExchange;
 
-/// \brief Answers the requests of callers.
+/// \brief Handles the requests of callers.
 /// \ingroup Front
 class FrontHandler {
  public:
@@ -19,7 +19,7 @@
   FrontHandler& operator=(const FrontHandler&) = delete;
   virtual ~FrontHandler() = default;
 
-  /// \brief A whole request came. The handler answers now or later, exactly once.
+  /// \brief Called for each complete request. The handler must respond exactly once, now or later.
   virtual void handle(const std::shared_ptr<FrontExchange>& exchange) = 0;
 };
 
--- a/Hallchute/src/Front/FrontLimits.h
+++ b/Hallchute/src/Front/FrontLimits.h
@@ -11,18 +11,18 @@
 
 namespace Hallchute {
 
-/// \brief What a caller may send and how long it may take.
+/// \brief Size limits and timeouts for callers.
 /// \ingroup Front
 ///
-/// The defaults hold until settings are known: 16 KiB and 4 MiB are what proxies commonly take.
+/// The defaults apply until the settings are loaded: 16 KiB and 4 MiB are common limits of proxies.
 struct FrontLimits {
   std::uint32_t headBytes = 16U << 10U;
   std::uint64_t bodyBytes = 4U << 20U;
-  /// From the first byte of a head to its end, and between two parts of a body.
+  /// Timeout from the first byte of a head to its end, and between two reads of a body.
   Millis headTime{3'000};
-  /// How long a connection may rest between requests.
+  /// Timeout of a keep-alive connection between requests.
   Millis idleTime{15'000};
-  /// Connections at the same time; from the process's limit on descriptors.
+  /// Concurrent connections; bounded by the process's limit on file descriptors.
   std::size_t connections = 2'048;
   bool operator==(const FrontLimits&) const = default;
 };
--- a/Hallchute/src/Front/FrontServer.cpp
+++ b/Hallchute/src/Front/FrontServer.cpp
@@ -18,7 +18,7 @@
 namespace Hallchute {
 namespace {
 
-/// Callers that may connect at the same moment: a full queue costs them seconds.
+/// Length of the accept queue: when it is full, callers wait seconds for the SYN retransmission.
 constexpr int kBacklog = 1'024;
 
 }  // namespace
@@ -38,7 +38,7 @@
 
 void FrontServer::accept() {
   const int fd = ::accept4(listener_.impl()->sockfd(), nullptr, nullptr, SOCK_CLOEXEC);
-  // The caller may have gone between the event and the call.
+  // The caller may have disconnected between the event and the call.
   if (fd < 0) return;
   const Poco::Net::StreamSocket socket(new Poco::Net::StreamSocketImpl(fd));
   if (connections_.size() >= limits_.connections) {
@@ -50,15 +50,15 @@
 }
 
 void FrontServer::remove(std::uint64_t connection) {
-  // The call may come out of a callback of that very connection.
+  // May be called from a callback of this connection: destroying it is deferred to the event loop.
   const auto it = connections_.find(connection);
   if (it == connections_.end()) return;
-  std::shared_ptr<FrontConnection> gone = std::move(it->second);
+  std::shared_ptr<FrontConnection> removed = std::move(it->second);
   connections_.erase(it);
-  loop_.post([gone] {});
+  loop_.post([removed] {});
 }
 
-void FrontServer::noteRefused(int status) {
+void FrontServer::countRejected(int status) {
   metrics_.add("hallchute_front_refused_total", "status=\"" + std::to_string(status) + "\"");
 }
 
--- a/Hallchute/src/Front/FrontServer.h
+++ b/Hallchute/src/Front/FrontServer.h
@@ -20,33 +20,34 @@
 class FrontHandler;
 class Metrics;
 
-/// \brief Takes callers' connections at one address. Traffic thread only, but for construction.
-/// \ingroup Front
+/// \brief Accepts callers' connections at one address. Traffic thread only, except for
+/// construction. \ingroup Front
 class FrontServer {
  public:
-  /// \param listen `ip:port`. \throws Poco::Exception if it can't be bound.
+  /// \param listen `ip:port`. \throws Poco::Exception if the address can't be bound.
   FrontServer(EventLoop& loop, const std::string& listen, FrontHandler& handler, Metrics& metrics);
   ~FrontServer();
   FrontServer(const FrontServer&) = delete;
   FrontServer& operator=(const FrontServer&) = delete;
 
-  /// \brief Limits for requests that begin from now on.
+  /// \brief Sets the limits for requests that begin after the call.
   void setLimits(const FrontLimits& limits) { limits_ = limits; }
-  /// \brief From now on each answer closes its connection.
+  /// \brief Closes each connection after its next response.
   void drain() { draining_ = true; }
-  /// \brief Closes the connections on which no request is under way.
+  /// \brief Closes the connections without a request in progress.
   void closeIdle();
   std::size_t connections() const { return connections_.size(); }
+  /// \brief The number of connections with a request in progress.
   std::size_t busy() const;
   Poco::Net::SocketAddress address() const { return listener_.address(); }
 
-  // For FrontConnection.
+  // Called by FrontConnection.
   EventLoop& loop() { return loop_; }
   FrontHandler& handler() { return handler_; }
   const FrontLimits& limits() const { return limits_; }
   bool draining() const { return draining_; }
   void remove(std::uint64_t connection);
-  void noteRefused(int status);
+  void countRejected(int status);
 
  private:
   void accept();
--- a/Hallchute/src/Http/HttpFields.cpp
+++ b/Hallchute/src/Http/HttpFields.cpp
@@ -29,7 +29,7 @@
 
 /// Calls \p visit with each token of a comma-separated list.
 template <typename Visit>
-void eachToken(std::string_view list, const Visit& visit) {
+void forEachToken(std::string_view list, const Visit& visit) {
   for (const absl::string_view part : absl::StrSplit(abslView(list), ',')) {
     const absl::string_view token = absl::StripAsciiWhitespace(part);
     if (!token.empty()) visit(std::string_view(token.data(), token.size()));
@@ -38,7 +38,7 @@
 
 }  // namespace
 
-bool equalWithoutCase(std::string_view left, std::string_view right) {
+bool equalsIgnoreCase(std::string_view left, std::string_view right) {
   return absl::EqualsIgnoreCase(abslView(left), abslView(right));
 }
 
@@ -52,12 +52,12 @@
 }
 
 void HttpFields::erase(std::string_view name) {
-  std::erase_if(fields_, [&](const HttpField& f) { return equalWithoutCase(f.name, name); });
+  std::erase_if(fields_, [&](const HttpField& f) { return equalsIgnoreCase(f.name, name); });
 }
 
 std::string_view HttpFields::get(std::string_view name) const {
   for (const HttpField& field : fields_) {
-    if (equalWithoutCase(field.name, name)) return field.value;
+    if (equalsIgnoreCase(field.name, name)) return field.value;
   }
   return {};
 }
@@ -69,25 +69,26 @@
 std::size_t HttpFields::count(std::string_view name) const {
   return static_cast<std::size_t>(
       std::count_if(fields_.begin(), fields_.end(),
-                    [&](const HttpField& f) { return equalWithoutCase(f.name, name); }));
+                    [&](const HttpField& f) { return equalsIgnoreCase(f.name, name); }));
 }
 
 bool HttpFields::hasToken(std::string_view name, std::string_view token) const {
   bool found = false;
   for (const HttpField& field : fields_) {
-    if (!equalWithoutCase(field.name, name)) continue;
-    eachToken(field.value, [&](std::string_view t) { found |= equalWithoutCase(t, token); });
+    if (!equalsIgnoreCase(field.name, name)) continue;
+    forEachToken(field.value, [&](std::string_view t) { found |= equalsIgnoreCase(t, token); });
   }
   return found;
 }
 
 void removeHopByHop(HttpFields& fields) {
-  std::vector<std::string> named;
+  std::vector<std::string> connectionOptions;
   for (const HttpField& field : fields.all()) {
-    if (!equalWithoutCase(field.name, "Connection")) continue;
-    eachToken(field.value, [&](std::string_view token) { named.emplace_back(token); });
+    if (!equalsIgnoreCase(field.name, "Connection")) continue;
+    forEachToken(field.value,
+                 [&](std::string_view token) { connectionOptions.emplace_back(token); });
   }
-  for (const std::string& name : named) fields.erase(name);
+  for (const std::string& name : connectionOptions) fields.erase(name);
   for (const std::string_view name : kHopByHop) fields.erase(name);
 }
 
--- a/Hallchute/src/Http/HttpFields.h
+++ b/Hallchute/src/Http/HttpFields.h
@@ -19,20 +19,20 @@
   bool operator==(const HttpField&) const = default;
 };
 
-/// \brief The header fields of a message in their order. Names compare without case.
+/// \brief The header fields of a message in order. Field names are case-insensitive.
 /// \ingroup Http
 class HttpFields {
  public:
   void add(std::string_view name, std::string_view value);
-  /// \brief Replaces all fields of that name.
+  /// \brief Replaces all fields with that name.
   void set(std::string_view name, std::string_view value);
   void erase(std::string_view name);
-  /// \brief The value of the first field of that name; empty if there is none.
+  /// \brief The value of the first field with that name; empty if there is none.
   std::string_view get(std::string_view name) const;
   bool has(std::string_view name) const;
-  /// \brief How many fields bear that name.
+  /// \brief The number of fields with that name.
   std::size_t count(std::string_view name) const;
-  /// \brief Whether a comma-separated list field holds \p token.
+  /// \brief Whether a comma-separated list field contains \p token, ignoring case.
   bool hasToken(std::string_view name, std::string_view token) const;
   const std::vector<HttpField>& all() const { return fields_; }
 
@@ -40,12 +40,11 @@
   std::vector<HttpField> fields_;
 };
 
-/// \brief Compares two field names, or two tokens, without case.
+/// \brief Compares two field names or tokens, ignoring ASCII case.
 /// \ingroup Http
-bool equalWithoutCase(std::string_view left, std::string_view right);
+bool equalsIgnoreCase(std::string_view left, std::string_view right);
 
-/// \brief Removes the fields that concern one connection only (RFC 9110, 7.6.1), those that
-/// `Connection` names among them.
+/// \brief Removes the hop-by-hop fields (RFC 9110, 7.6.1), including those listed in `Connection`.
 /// \ingroup Http
 void removeHopByHop(HttpFields& fields);
 
--- a/Hallchute/src/Http/HttpReader.cpp
+++ b/Hallchute/src/Http/HttpReader.cpp
@@ -21,13 +21,13 @@
   return {text.data(), text.size()};
 }
 
-/// Collects what the library's parser finds.
+/// Stores the head and the body that Boost.Beast's parser reports.
 template <bool isRequest>
-class Collector final : public http::basic_parser<isRequest> {
+class CollectingParser final : public http::basic_parser<isRequest> {
  public:
   HttpHead head;
   std::string body;
-  bool faulty = false;
+  bool badFraming = false;
 
  private:
   void on_request_impl(http::verb, string_view method, string_view target, int version,
@@ -50,11 +50,11 @@
     error = {};
     head.keepAlive = this->keep_alive();
     head.endsWithConnection = !isRequest && this->need_eof();
-    // The parser lets other codings pass: their bodies would have no sure end.
-    const bool coded = head.fields.has("Transfer-Encoding");
-    const bool twoLengths = coded && head.fields.has("Content-Length");
-    if ((coded && !this->chunked()) || twoLengths) faulty = true;
-    if (faulty) error = http::error::bad_transfer_encoding;
+    // Beast accepts other transfer codings, but the end of their bodies would be ambiguous.
+    const bool hasTransferEncoding = head.fields.has("Transfer-Encoding");
+    const bool hasBothLengths = hasTransferEncoding && head.fields.has("Content-Length");
+    if ((hasTransferEncoding && !this->chunked()) || hasBothLengths) badFraming = true;
+    if (badFraming) error = http::error::bad_transfer_encoding;
   }
   void on_body_init_impl(const boost::optional<std::uint64_t>&, Error& error) override {
     error = {};
@@ -73,7 +73,7 @@
   void on_finish_impl(Error& error) override { error = {}; }
 };
 
-HttpProgress progressOf(const Error& error) {
+HttpProgress progressFromError(const Error& error) {
   if (error == http::error::need_more) return HttpProgress::needsMore;
   if (error == http::error::header_limit) return HttpProgress::headTooLarge;
   if (error == http::error::body_limit) return HttpProgress::bodyTooLarge;
@@ -89,8 +89,8 @@
     return std::visit(visitor, parser_);
   }
 
-  Parser(HttpSide side, HttpReaderLimits limits) {
-    if (side == HttpSide::answers) parser_.emplace<Collector<false>>();
+  Parser(HttpSide messageType, HttpReaderLimits limits) {
+    if (messageType == HttpSide::answers) parser_.emplace<CollectingParser<false>>();
     visit([&](auto& parser) {
       parser.eager(true);
       parser.header_limit(limits.headBytes);
@@ -103,10 +103,10 @@
       while (!buffer.empty() && !parser.is_done()) {
         started = true;
         Error error;
-        const std::size_t used = parser.put(boost::asio::buffer(buffer), error);
-        buffer.erase(0, used);
-        if (error && error != http::error::need_more) return progressOf(error);
-        if (error || used == 0) break;
+        const std::size_t consumed = parser.put(boost::asio::buffer(buffer), error);
+        buffer.erase(0, consumed);
+        if (error && error != http::error::need_more) return progressFromError(error);
+        if (error || consumed == 0) break;
       }
       return parser.is_done() ? HttpProgress::complete : HttpProgress::needsMore;
     });
@@ -125,11 +125,11 @@
   bool started = false;
 
  private:
-  std::variant<Collector<true>, Collector<false>> parser_;
+  std::variant<CollectingParser<true>, CollectingParser<false>> parser_;
 };
 
-HttpReader::HttpReader(HttpSide side, HttpReaderLimits limits)
-    : parser_(std::make_unique<Parser>(side, limits)) {}
+HttpReader::HttpReader(HttpSide messageType, HttpReaderLimits limits)
+    : parser_(std::make_unique<Parser>(messageType, limits)) {}
 HttpReader::~HttpReader() = default;
 HttpReader::HttpReader(HttpReader&&) noexcept = default;
 HttpReader& HttpReader::operator=(HttpReader&&) noexcept = default;
--- a/Hallchute/src/Http/HttpReader.h
+++ b/Hallchute/src/Http/HttpReader.h
@@ -14,10 +14,10 @@
 
 namespace Hallchute {
 
-/// \brief The start line and fields of a request or of an answer.
+/// \brief The start line and header fields of a request or response.
 /// \ingroup Http
 struct HttpHead {
-  /// Empty for an answer.
+  /// Empty for a response.
   std::string method;
   std::string target;
   /// 0 for a request.
@@ -25,59 +25,59 @@
   /// 11 for HTTP/1.1, 10 for HTTP/1.0.
   int version = 11;
   HttpFields fields;
-  /// Whether the sender keeps the connection after this message.
+  /// Whether the sender keeps the connection open after this message.
   bool keepAlive = false;
-  /// Whether only the end of the connection ends the body.
+  /// Whether the body is delimited by the end of the connection.
   bool endsWithConnection = false;
 };
 
-/// \brief What a reader makes of the bytes it was given.
+/// \brief The state of a reader after the bytes it was given.
 /// \ingroup Http
 enum class HttpProgress {
   needsMore,
   complete,
-  /// The bytes form no HTTP message, or one with two meanings.
+  /// Not a valid HTTP message, or one with ambiguous framing.
   malformed,
   headTooLarge,
   bodyTooLarge,
 };
 
-/// \brief Which side of an exchange a reader reads.
+/// \brief Whether a reader parses requests or responses.
 /// \ingroup Http
 enum class HttpSide { requests, answers };
 
 /// \brief Limits of a message. \ingroup Http
 struct HttpReaderLimits {
-  /// Bytes of start line and fields together.
+  /// Bytes of the start line and the fields together.
   std::uint32_t headBytes = 16U << 10U;
   std::uint64_t bodyBytes = 4U << 20U;
 };
 
-/// \brief Reads one message from bytes as they come; does no I/O.
+/// \brief Incremental parser of one message; performs no I/O.
 /// \ingroup Http
 ///
-/// Boost.Beast's parser does the work: POCO's reads from blocking streams only. Strict: a message
+/// Based on Boost.Beast's parser, as POCO's reads from blocking streams only. Strict: a message
 /// with two lengths, or with a transfer coding other than `chunked`, is malformed. Bytes after the
-/// message stay with the caller.
+/// message are left in the buffer.
 class HttpReader {
  public:
-  HttpReader(HttpSide side, HttpReaderLimits limits);
+  HttpReader(HttpSide messageType, HttpReaderLimits limits);
   ~HttpReader();
   HttpReader(HttpReader&&) noexcept;
   HttpReader& operator=(HttpReader&&) noexcept;
 
-  /// \brief Takes bytes off the front of \p buffer.
+  /// \brief Parses bytes from the front of \p buffer and removes them.
   HttpProgress read(std::string& buffer);
-  /// \brief The connection ended: `complete` if that is how the message ends.
+  /// \brief Signals the end of the connection. \returns `complete` if that completes the message.
   HttpProgress end();
-  /// \brief The answer has no body whatever its fields say: it answers a HEAD request.
+  /// \brief Expects a response without a body regardless of its fields, as to a HEAD request.
   void expectNoBody();
 
   bool hasHead() const;
-  /// \brief Whether any byte of the message was seen, a partial head included.
+  /// \brief Whether any byte of the message has been read, even of a partial head.
   bool started() const;
   const HttpHead& head() const;
-  /// \brief The body read so far, without what takeBody() gave.
+  /// \brief Returns and removes the body bytes read since the last call.
   std::string takeBody();
 
  private:
--- a/Hallchute/src/Http/HttpWriter.cpp
+++ b/Hallchute/src/Http/HttpWriter.cpp
@@ -19,12 +19,12 @@
   }
 }
 
-std::string answerHead(int status, const HttpFields& fields, AfterAnswer after) {
-  const auto known = static_cast<Poco::Net::HTTPResponse::HTTPStatus>(status);
-  const std::string& reason = Poco::Net::HTTPResponse::getReasonForStatus(known);
+std::string responseHead(int status, const HttpFields& fields, ConnectionPersistence persistence) {
+  const auto httpStatus = static_cast<Poco::Net::HTTPResponse::HTTPStatus>(status);
+  const std::string& reason = Poco::Net::HTTPResponse::getReasonForStatus(httpStatus);
   std::string out = absl::StrCat("HTTP/1.1 ", status, " ", reason, "\r\n");
   appendFields(fields, out);
-  if (after == AfterAnswer::close) out += "Connection: close\r\n";
+  if (persistence == ConnectionPersistence::close) out += "Connection: close\r\n";
   return out;
 }
 
@@ -41,9 +41,9 @@
   return out;
 }
 
-std::string answerBytes(int status, const HttpFields& fields, std::string_view body,
-                        AfterAnswer after, bool withBody) {
-  std::string out = answerHead(status, fields, after);
+std::string responseBytes(int status, const HttpFields& fields, std::string_view body,
+                          ConnectionPersistence persistence, bool withBody) {
+  std::string out = responseHead(status, fields, persistence);
   const bool bodyless = status == 204 || status == 304;
   if (!bodyless) absl::StrAppend(&out, "Content-Length: ", body.size(), "\r\n");
   out += "\r\n";
@@ -51,8 +51,9 @@
   return out;
 }
 
-std::string chunkedHeadBytes(int status, const HttpFields& fields, AfterAnswer after) {
-  return answerHead(status, fields, after) + "Transfer-Encoding: chunked\r\n\r\n";
+std::string chunkedHeadBytes(int status, const HttpFields& fields,
+                             ConnectionPersistence persistence) {
+  return responseHead(status, fields, persistence) + "Transfer-Encoding: chunked\r\n\r\n";
 }
 
 std::string chunkBytes(std::string_view bytes) {
--- a/Hallchute/src/Http/HttpWriter.h
+++ b/Hallchute/src/Http/HttpWriter.h
@@ -11,31 +11,33 @@
 
 namespace Hallchute {
 
-/// \brief The bytes of a request with its whole body.
+/// \brief Serialises a request with its complete body.
 /// \ingroup Http
-/// \param fields without framing: the length is added here.
+/// \param fields without framing fields: Content-Length is added.
 std::string requestBytes(std::string_view method, std::string_view target, const HttpFields& fields,
                          std::string_view body);
 
-/// \brief Whether the connection stays open after an answer.
+/// \brief Whether the connection stays open after a response.
 /// \ingroup Http
-enum class AfterAnswer { keep, close };
+enum class ConnectionPersistence { keep, close };
 
-/// \brief The bytes of an answer with its whole body.
+/// \brief Serialises a response with its complete body.
 /// \ingroup Http
-/// \param withBody false for the answer to a HEAD request: the length is told, nothing is sent.
-std::string answerBytes(int status, const HttpFields& fields, std::string_view body,
-                        AfterAnswer after, bool withBody = true);
+/// \param withBody false for the response to a HEAD request: Content-Length is sent without the
+/// body.
+std::string responseBytes(int status, const HttpFields& fields, std::string_view body,
+                          ConnectionPersistence persistence, bool withBody = true);
 
-/// \brief The head of an answer whose body follows in chunks.
+/// \brief Serialises the head of a response with chunked transfer coding.
 /// \ingroup Http
-std::string chunkedHeadBytes(int status, const HttpFields& fields, AfterAnswer after);
+std::string chunkedHeadBytes(int status, const HttpFields& fields,
+                             ConnectionPersistence persistence);
 
-/// \brief One chunk of a body; \p bytes must not be empty.
+/// \brief Serialises one chunk of a body; \p bytes must not be empty.
 /// \ingroup Http
 std::string chunkBytes(std::string_view bytes);
 
-/// \brief What ends a chunked body.
+/// \brief The last chunk, which ends a chunked body.
 /// \ingroup Http
 inline constexpr std::string_view kLastChunk = "0\r\n\r\n";
 
--- a/Hallchute/src/Http/TcpChannel.cpp
+++ b/Hallchute/src/Http/TcpChannel.cpp
@@ -20,7 +20,7 @@
 namespace Hallchute {
 namespace {
 
-constexpr std::size_t kReadSize = 32U << 10U;
+constexpr std::size_t kReceiveBufferBytes = 32U << 10U;
 
 }  // namespace
 
@@ -34,7 +34,7 @@
 }
 
 TcpChannel::TcpChannel(EventLoop& loop, const std::string& address, const std::string& source,
-                       Millis limit, TcpChannelOwner& owner)
+                       Millis connectTimeout, TcpChannelOwner& owner)
     : loop_(loop), owner_(owner), connecting_(true) {
   try {
     if (!source.empty()) socket_.impl()->bind(Poco::Net::SocketAddress(source, 0), false);
@@ -43,14 +43,14 @@
     socket_.setNoDelay(true);
     leaveLivenessToOwner(socket_);
     loop_.watch(fd_, POLLOUT, [this](short events) { onEvents(events); });
-    connectTimer_ = loop_.after(limit, [this] {
+    connectTimer_ = loop_.after(connectTimeout, [this] {
       connectTimer_ = 0;
-      fail(ChannelEnd::notConnected);
+      reportEnd(ChannelEnd::notConnected);
     });
   } catch (const Poco::Exception&) {
-    // The owner is told from the loop, as for any other connection that doesn't come up.
+    // Notify the owner from the event loop, as for any other connection that can't be established.
     loop_.post([this, alive = alive_] {
-      if (*alive) fail(ChannelEnd::notConnected);
+      if (*alive) reportEnd(ChannelEnd::notConnected);
     });
   }
 }
@@ -62,23 +62,23 @@
 }
 
 void TcpChannel::updateWatch() {
-  const bool writing = connecting_ || !out_.empty();
+  const bool writing = connecting_ || !sendBuffer_.empty();
   loop_.rewatch(fd_, static_cast<short>((connecting_ ? 0 : POLLIN) | (writing ? POLLOUT : 0)));
 }
 
 void TcpChannel::send(std::string_view bytes) {
   if (ended_) return;
-  out_.append(bytes);
-  if (!connecting_) writeSome();
+  sendBuffer_.append(bytes);
+  if (!connecting_) sendPending();
 }
 
-void TcpChannel::finishSending() {
-  finishing_ = true;
-  shutWhenSent();
+void TcpChannel::shutdownSend() {
+  shutdownRequested_ = true;
+  shutdownIfDrained();
 }
 
-void TcpChannel::shutWhenSent() {
-  if (!finishing_ || ended_ || connecting_ || !out_.empty()) return;
+void TcpChannel::shutdownIfDrained() {
+  if (!shutdownRequested_ || ended_ || connecting_ || !sendBuffer_.empty()) return;
   ::shutdown(fd_, SHUT_WR);
 }
 
@@ -87,16 +87,16 @@
 }
 
 std::size_t TcpChannel::unacknowledged() const {
-  int inKernel = 0;
-  if (fd_ < 0 || ::ioctl(fd_, SIOCOUTQ, &inKernel) != 0) inKernel = 0;
-  return out_.size() + static_cast<std::size_t>(inKernel);
+  int unacknowledgedInKernel = 0;
+  if (fd_ < 0 || ::ioctl(fd_, SIOCOUTQ, &unacknowledgedInKernel) != 0) unacknowledgedInKernel = 0;
+  return sendBuffer_.size() + static_cast<std::size_t>(unacknowledgedInKernel);
 }
 
 bool TcpChannel::quiet() const {
   if (ended_ || connecting_) return false;
   char byte = 0;
-  const ssize_t got = ::recv(fd_, &byte, 1, MSG_PEEK | MSG_DONTWAIT);
-  return got < 0 && (errno == EAGAIN || errno == EWOULDBLOCK);
+  const ssize_t received = ::recv(fd_, &byte, 1, MSG_PEEK | MSG_DONTWAIT);
+  return received < 0 && (errno == EAGAIN || errno == EWOULDBLOCK);
 }
 
 void TcpChannel::abort() {
@@ -109,7 +109,7 @@
   fd_ = -1;
 }
 
-void TcpChannel::fail(ChannelEnd end) {
+void TcpChannel::reportEnd(ChannelEnd end) {
   if (ended_) return;
   ended_ = true;
   loop_.cancel(connectTimer_);
@@ -123,8 +123,8 @@
     finishConnect();
     return;
   }
-  if ((events & (POLLIN | POLLHUP | POLLERR)) != 0) readSome();
-  if (*alive && !ended_ && (events & POLLOUT) != 0) writeSome();
+  if ((events & (POLLIN | POLLHUP | POLLERR)) != 0) receiveAvailable();
+  if (*alive && !ended_ && (events & POLLOUT) != 0) sendPending();
 }
 
 void TcpChannel::finishConnect() {
@@ -132,50 +132,51 @@
   socklen_t size = sizeof error;
   ::getsockopt(fd_, SOL_SOCKET, SO_ERROR, &error, &size);
   if (error != 0) {
-    fail(ChannelEnd::notConnected);
+    reportEnd(ChannelEnd::notConnected);
     return;
   }
   connecting_ = false;
   loop_.cancel(connectTimer_);
   connectTimer_ = 0;
   updateWatch();
-  if (!out_.empty()) writeSome();
+  if (!sendBuffer_.empty()) sendPending();
 }
 
-void TcpChannel::readSome() {
-  static thread_local std::array<char, kReadSize> buffer;
-  const ssize_t got = ::recv(fd_, buffer.data(), buffer.size(), MSG_DONTWAIT);
-  if (got > 0) {
-    owner_.channelBytes({buffer.data(), static_cast<std::size_t>(got)});
+void TcpChannel::receiveAvailable() {
+  static thread_local std::array<char, kReceiveBufferBytes> buffer;
+  const ssize_t received = ::recv(fd_, buffer.data(), buffer.size(), MSG_DONTWAIT);
+  if (received > 0) {
+    owner_.channelBytes({buffer.data(), static_cast<std::size_t>(received)});
     return;
   }
-  if (got == 0) {
-    fail(ChannelEnd::finished);
+  if (received == 0) {
+    reportEnd(ChannelEnd::finished);
     return;
   }
-  if (errno != EAGAIN && errno != EWOULDBLOCK && errno != EINTR) fail(ChannelEnd::broken);
+  if (errno != EAGAIN && errno != EWOULDBLOCK && errno != EINTR) reportEnd(ChannelEnd::broken);
 }
 
-void TcpChannel::writeSome() {
-  while (!out_.empty()) {
-    const ssize_t put = ::send(fd_, out_.data(), out_.size(), MSG_DONTWAIT | MSG_NOSIGNAL);
-    if (put > 0) {
-      sentBytes_ += static_cast<std::uint64_t>(put);
-      out_.erase(0, static_cast<std::size_t>(put));
+void TcpChannel::sendPending() {
+  while (!sendBuffer_.empty()) {
+    const ssize_t sent =
+        ::send(fd_, sendBuffer_.data(), sendBuffer_.size(), MSG_DONTWAIT | MSG_NOSIGNAL);
+    if (sent > 0) {
+      sentBytes_ += static_cast<std::uint64_t>(sent);
+      sendBuffer_.erase(0, static_cast<std::size_t>(sent));
       continue;
     }
     if (errno == EINTR) continue;
     if (errno == EAGAIN || errno == EWOULDBLOCK) break;
-    // The read side tells what happened; the owner hears of it from the loop, not from send().
+    // Notify the owner from the event loop, so that send() never calls back into it.
     loop_.post([this, alive = alive_] {
-      if (*alive) fail(ChannelEnd::broken);
+      if (*alive) reportEnd(ChannelEnd::broken);
     });
     return;
   }
   updateWatch();
-  if (!out_.empty()) return;
-  shutWhenSent();
-  owner_.channelDrained();
+  if (!sendBuffer_.empty()) return;
+  shutdownIfDrained();
+  owner_.onChannelDrained();
 }
 
 }  // namespace Hallchute
--- a/Hallchute/src/Http/TcpChannel.h
+++ b/Hallchute/src/Http/TcpChannel.h
@@ -21,15 +21,15 @@
 /// \brief How a TCP connection ended.
 /// \ingroup Http
 enum class ChannelEnd {
-  /// It was never up: no byte left this host.
+  /// The connection was never established: no byte was sent.
   notConnected,
-  /// The other side said that it sends no more.
+  /// The peer closed its sending side (FIN).
   finished,
-  /// Reset, or silent for too long.
+  /// The connection was reset or timed out.
   broken,
 };
 
-/// \brief Told what happens on a TcpChannel.
+/// \brief Receives the events of a TcpChannel.
 /// \ingroup Http
 class TcpChannelOwner {
  public:
@@ -39,68 +39,70 @@
   virtual ~TcpChannelOwner() = default;
 
   virtual void channelBytes(std::string_view bytes) = 0;
-  /// \brief Called once; nothing follows it.
+  /// \brief Called once, as the last callback.
   virtual void channelEnded(ChannelEnd end) = 0;
-  /// \brief All bytes given to send() are with the kernel.
-  virtual void channelDrained() {}
+  /// \brief The kernel has accepted all bytes passed to send().
+  virtual void onChannelDrained() {}
 };
 
-/// \brief A TCP connection on a loop that never blocks.
+/// \brief A non-blocking TCP connection on an event loop.
 /// \ingroup Http
 ///
-/// Loop thread only. An owner may destroy its channel within a callback. The sockets are POCO's;
-/// bytes move by recv and send, as a reset is an everyday event here and POCO throws on it.
+/// Loop thread only. An owner may destroy its channel within a callback. The sockets are POCO's,
+/// but data is transferred by recv() and send(): connection resets are common and POCO throws on
+/// them.
 class TcpChannel {
  public:
   /// \brief An accepted connection.
   TcpChannel(EventLoop& loop, const Poco::Net::StreamSocket& socket, TcpChannelOwner& owner);
-  /// \brief Connects from the IP \p source, within \p limit. The kernel doesn't end the connection
-  /// by itself: a silent other side is its owner's to notice.
-  TcpChannel(EventLoop& loop, const std::string& address, const std::string& source, Millis limit,
-             TcpChannelOwner& owner);
+  /// \brief Connects from the IP address \p source within \p connectTimeout. The kernel doesn't
+  /// time the connection out: its owner must detect an unresponsive peer.
+  TcpChannel(EventLoop& loop, const std::string& address, const std::string& source,
+             Millis connectTimeout, TcpChannelOwner& owner);
   ~TcpChannel();
   TcpChannel(const TcpChannel&) = delete;
   TcpChannel& operator=(const TcpChannel&) = delete;
 
-  /// \brief Sends what the kernel takes now and keeps the rest.
+  /// \brief Sends what the kernel accepts now and buffers the rest.
   void send(std::string_view bytes);
-  /// \brief Says that no more bytes come from this side once all are sent.
-  void finishSending();
-  std::size_t unsent() const { return out_.size(); }
-  /// \brief Bytes that the kernel has taken since the connection began.
+  /// \brief Shuts down the sending side once all bytes are sent.
+  void shutdownSend();
+  /// \brief Bytes passed to send() that the kernel has not accepted yet.
+  std::size_t unsent() const { return sendBuffer_.size(); }
+  /// \brief Bytes that the kernel has accepted since the connection was opened.
   std::uint64_t sentBytes() const { return sentBytes_; }
-  /// \brief Whether the other side's kernel has acknowledged all bytes given to send(); true where
-  /// the kernel doesn't tell.
+  /// \brief Whether the peer's kernel has acknowledged all bytes passed to send(). Where the kernel
+  /// doesn't report this, whether this host's kernel has accepted them all.
   bool acknowledged() const;
-  /// \brief Bytes given to send() that the other side's kernel has not acknowledged; those that
-  /// this one has not taken yet are all that is known where the kernel doesn't tell.
+  /// \brief Bytes passed to send() that the peer's kernel has not acknowledged. Where the kernel
+  /// doesn't report this, only the bytes that this host's kernel has not accepted yet.
   std::size_t unacknowledged() const;
-  /// \brief Whether the other side has neither closed nor sent anything, by a look at the socket.
+  /// \brief Whether the connection is open and has no unread input; peeks at the socket.
   bool quiet() const;
-  /// \brief Ends the connection at once with a reset; no callback follows. Bytes that a cut holds
-  /// up are dropped: after a plain close the kernel would deliver them when the cut has healed.
+  /// \brief Resets the connection at once; no callback follows. Unsent bytes are discarded: after a
+  /// plain close the kernel would still deliver them when a network partition heals.
   void abort();
 
  private:
   void onEvents(short events);
-  void readSome();
-  void writeSome();
+  void receiveAvailable();
+  void sendPending();
   void finishConnect();
-  void fail(ChannelEnd end);
+  void reportEnd(ChannelEnd end);
   void updateWatch();
-  void shutWhenSent();
+  void shutdownIfDrained();
 
   EventLoop& loop_;
   TcpChannelOwner& owner_;
   Poco::Net::StreamSocket socket_;
   int fd_ = -1;
-  std::string out_;
+  std::string sendBuffer_;
   std::uint64_t sentBytes_ = 0;
   std::uint64_t connectTimer_ = 0;
   bool connecting_ = false;
   bool ended_ = false;
-  bool finishing_ = false;
-  /// Lets callbacks see that their owner destroyed this channel.
+  bool shutdownRequested_ = false;
+  /// Shared with callbacks, to detect that the owner destroyed this channel.
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
--- a/Hallchute/src/Settings/ChangeLog.cpp
+++ b/Hallchute/src/Settings/ChangeLog.cpp
@@ -6,56 +6,57 @@
 namespace Hallchute {
 namespace {
 
-constexpr std::size_t kRecentChanges = 128;
+constexpr std::size_t kMaxRecentChanges = 128;
 
-std::shared_ptr<const SettingsInForce> makeInForce(std::uint64_t revision, const JsonObject& json) {
-  auto made = std::make_shared<SettingsInForce>();
+std::shared_ptr<const SettingsInForce> makeActiveSettings(std::uint64_t revision,
+                                                          const JsonObject& json) {
+  auto settings = std::make_shared<SettingsInForce>();
   Findings findings;
-  made->revision = revision;
-  made->json = json;
-  made->tree = readSettings(json, findings);
-  return made;
+  settings->revision = revision;
+  settings->json = json;
+  settings->tree = readSettings(json, findings);
+  return settings;
 }
 
 }  // namespace
 
-ChangeLog::ChangeLog() : inForce_(makeInForce(0, new Poco::JSON::Object)) {}
+ChangeLog::ChangeLog() : active_(makeActiveSettings(0, new Poco::JSON::Object)) {}
 
 bool ChangeLog::startFrom(std::uint64_t revision, const JsonObject& json) {
-  if (revision <= inForce_->revision) return false;
-  inForce_ = makeInForce(revision, json);
-  waiting_.erase(waiting_.begin(), waiting_.upper_bound(revision));
+  if (revision <= active_->revision) return false;
+  active_ = makeActiveSettings(revision, json);
+  pending_.erase(pending_.begin(), pending_.upper_bound(revision));
   while (applyNext()) {
   }
   return true;
 }
 
 bool ChangeLog::add(SettingsChange change) {
-  if (change.number <= inForce_->revision) return false;
-  if (waiting_.size() >= kMaxWaiting && change.number != inForce_->revision + 1) return false;
-  const std::uint64_t before = inForce_->revision;
+  if (change.number <= active_->revision) return false;
+  if (pending_.size() >= kMaxPendingChanges && change.number != active_->revision + 1) return false;
+  const std::uint64_t before = active_->revision;
   const std::uint64_t number = change.number;
-  waiting_.emplace(number, std::move(change));
+  pending_.emplace(number, std::move(change));
   while (applyNext()) {
   }
-  return inForce_->revision > before;
+  return active_->revision > before;
 }
 
 bool ChangeLog::applyNext() {
-  const auto it = waiting_.find(inForce_->revision + 1);
-  if (it == waiting_.end()) return false;
-  inForce_ = makeInForce(it->first, mergePatch(inForce_->json, it->second.patch));
-  recent_.insert(waiting_.extract(it));
-  if (recent_.size() > kRecentChanges) recent_.erase(recent_.begin());
+  const auto it = pending_.find(active_->revision + 1);
+  if (it == pending_.end()) return false;
+  active_ = makeActiveSettings(it->first, mergePatch(active_->json, it->second.patch));
+  recent_.insert(pending_.extract(it));
+  if (recent_.size() > kMaxRecentChanges) recent_.erase(recent_.begin());
   return true;
 }
 
-std::vector<SettingsChange> ChangeLog::after(std::uint64_t revision, std::size_t most) const {
-  std::vector<SettingsChange> found;
+std::vector<SettingsChange> ChangeLog::after(std::uint64_t revision, std::size_t maxCount) const {
+  std::vector<SettingsChange> changes;
   auto it = recent_.upper_bound(revision);
-  if (it == recent_.end() || it->first != revision + 1) return found;
-  for (; it != recent_.end() && found.size() < most; ++it) found.push_back(it->second);
-  return found;
+  if (it == recent_.end() || it->first != revision + 1) return changes;
+  for (; it != recent_.end() && changes.size() < maxCount; ++it) changes.push_back(it->second);
+  return changes;
 }
 
 }  // namespace Hallchute
--- a/Hallchute/src/Settings/ChangeLog.h
+++ b/Hallchute/src/Settings/ChangeLog.h
@@ -13,7 +13,7 @@
 
 namespace Hallchute {
 
-/// \brief The settings in force at one revision, shared and never changed.
+/// \brief The active settings at one revision; shared and immutable.
 /// \ingroup Settings
 struct SettingsInForce {
   std::uint64_t revision = 0;
@@ -21,33 +21,35 @@
   SettingsTree tree;
 };
 
-/// \brief Applies numbered changes in order, each once, and never goes back.
+/// \brief Applies numbered changes in order, each exactly once; the revision never decreases.
 /// \ingroup Settings
 ///
-/// Changes may come from several sources, late, twice and out of order. Those that come early
-/// wait, at most kMaxWaiting of them. No I/O, no clock; one thread.
+/// Changes may arrive from several sources, late, duplicated and out of order. Up to
+/// kMaxPendingChanges changes are buffered until their predecessors arrive. Performs no I/O and
+/// reads no clock; not thread-safe.
 class ChangeLog {
  public:
-  static constexpr std::size_t kMaxWaiting = 256;
+  static constexpr std::size_t kMaxPendingChanges = 256;
 
   ChangeLog();
-  /// \brief Starts from a snapshot; ignored unless it is newer than what is in force.
-  /// \returns whether it is in force now.
+  /// \brief Replaces the settings by a snapshot, unless it is no newer than the active revision.
+  /// \returns whether the snapshot was applied.
   bool startFrom(std::uint64_t revision, const JsonObject& json);
-  /// \brief Takes one change.
-  /// \returns whether the revision in force rose.
+  /// \brief Adds one change and applies all changes that follow the active revision without a gap.
+  /// \returns whether the active revision increased.
   bool add(SettingsChange change);
-  const std::shared_ptr<const SettingsInForce>& inForce() const { return inForce_; }
-  std::uint64_t revision() const { return inForce_->revision; }
-  /// \brief Changes after \p revision that are still held, oldest first, at most \p most.
-  std::vector<SettingsChange> after(std::uint64_t revision, std::size_t most) const;
+  const std::shared_ptr<const SettingsInForce>& inForce() const { return active_; }
+  std::uint64_t revision() const { return active_->revision; }
+  /// \brief At most \p maxCount changes after \p revision, oldest first; empty if the first of them
+  /// is no longer retained.
+  std::vector<SettingsChange> after(std::uint64_t revision, std::size_t maxCount) const;
 
  private:
   bool applyNext();
 
-  std::shared_ptr<const SettingsInForce> inForce_;
-  std::map<std::uint64_t, SettingsChange> waiting_;
-  /// The newest changes applied, kept for peers that lag.
+  std::shared_ptr<const SettingsInForce> active_;
+  std::map<std::uint64_t, SettingsChange> pending_;
+  /// The changes applied last, retained for peers that lag behind.
   std::map<std::uint64_t, SettingsChange> recent_;
 };
 
--- a/Hallchute/src/Settings/JsonReader.cpp
+++ b/Hallchute/src/Settings/JsonReader.cpp
@@ -12,8 +12,8 @@
 JsonReader::JsonReader(JsonObject object, std::string path, Findings& findings)
     : object_(std::move(object)), path_(std::move(path)), findings_(findings) {}
 
-Poco::Dynamic::Var JsonReader::take(const std::string& name) {
-  known_.insert(name);
+Poco::Dynamic::Var JsonReader::readMember(const std::string& name) {
+  requestedNames_.insert(name);
   return object_->get(name);
 }
 
@@ -25,46 +25,47 @@
   return object_->has(name);
 }
 
-std::int64_t JsonReader::integer(const std::string& name, std::int64_t least, std::int64_t most,
-                                 std::int64_t fallback) {
-  const Poco::Dynamic::Var value = take(name);
-  if (value.isEmpty()) return fallback;
+std::int64_t JsonReader::integer(const std::string& name, std::int64_t minimum,
+                                 std::int64_t maximum, std::int64_t defaultValue) {
+  const Poco::Dynamic::Var value = readMember(name);
+  if (value.isEmpty()) return defaultValue;
   if (!value.isInteger() || value.isBoolean()) {
     report(name, "must be an integer");
-    return fallback;
+    return defaultValue;
   }
   const auto number = value.convert<std::int64_t>();
-  if (number < least || number > most) {
-    report(name, "must be between " + std::to_string(least) + " and " + std::to_string(most) +
+  if (number < minimum || number > maximum) {
+    report(name, "must be between " + std::to_string(minimum) + " and " + std::to_string(maximum) +
                      ", is " + std::to_string(number));
-    return fallback;
+    return defaultValue;
   }
   return number;
 }
 
-double JsonReader::number(const std::string& name, double least, double most, double fallback) {
-  const Poco::Dynamic::Var value = take(name);
-  if (value.isEmpty()) return fallback;
+double JsonReader::number(const std::string& name, double minimum, double maximum,
+                          double defaultValue) {
+  const Poco::Dynamic::Var value = readMember(name);
+  if (value.isEmpty()) return defaultValue;
   if (!value.isNumeric() || value.isBoolean()) {
     report(name, "must be a number");
-    return fallback;
+    return defaultValue;
   }
   const auto found = value.convert<double>();
-  if (found >= least && found <= most) return found;
-  report(name, absl::StrCat("must be between ", least, " and ", most, ", is ", found));
-  return fallback;
+  if (found >= minimum && found <= maximum) return found;
+  report(name, absl::StrCat("must be between ", minimum, " and ", maximum, ", is ", found));
+  return defaultValue;
 }
 
-bool JsonReader::boolean(const std::string& name, bool fallback) {
-  const Poco::Dynamic::Var value = take(name);
-  if (value.isEmpty()) return fallback;
+bool JsonReader::boolean(const std::string& name, bool defaultValue) {
+  const Poco::Dynamic::Var value = readMember(name);
+  if (value.isEmpty()) return defaultValue;
   if (value.isBoolean()) return value.extract<bool>();
   report(name, "must be true or false");
-  return fallback;
+  return defaultValue;
 }
 
 std::string JsonReader::text(const std::string& name, bool required) {
-  const Poco::Dynamic::Var value = take(name);
+  const Poco::Dynamic::Var value = readMember(name);
   if (value.isEmpty()) {
     if (required) report(name, "is missing");
     return {};
@@ -74,19 +75,20 @@
   return {};
 }
 
-std::string JsonReader::oneOf(const std::string& name, std::span<const std::string_view> words) {
+std::string JsonReader::oneOf(const std::string& name, std::span<const std::string_view> allowed) {
   std::string value = text(name, false);
-  if (!has(name)) return std::string(words.front());
-  if (std::find(words.begin(), words.end(), value) != words.end()) return value;
+  if (!has(name)) return std::string(allowed.front());
+  if (std::find(allowed.begin(), allowed.end(), value) != allowed.end()) return value;
   std::string choices;
-  for (std::string_view word : words) choices += (choices.empty() ? "" : ", ") + std::string(word);
+  for (std::string_view choice : allowed)
+    choices += (choices.empty() ? "" : ", ") + std::string(choice);
   report(name, "must be one of " + choices);
-  return std::string(words.front());
+  return std::string(allowed.front());
 }
 
 std::vector<std::string> JsonReader::texts(const std::string& name) {
   std::vector<std::string> found;
-  const Poco::Dynamic::Var value = take(name);
+  const Poco::Dynamic::Var value = readMember(name);
   if (value.isEmpty()) return found;
   if (value.type() != typeid(Poco::JSON::Array::Ptr)) {
     report(name, "must be an array of strings");
@@ -105,7 +107,7 @@
 }
 
 JsonObject JsonReader::childObject(const std::string& name) {
-  Poco::Dynamic::Var value = take(name);
+  Poco::Dynamic::Var value = readMember(name);
   if (value.isEmpty()) return {};
   if (value.type() == typeid(JsonObject)) return value.extract<JsonObject>();
   report(name, "must be an object");
@@ -120,8 +122,8 @@
   reader.finish();
 }
 
-void JsonReader::each(const std::string& name,
-                      const std::function<void(const std::string&, JsonReader&)>& read) {
+void JsonReader::forEachObject(const std::string& name,
+                               const std::function<void(const std::string&, JsonReader&)>& read) {
   const JsonObject child = childObject(name);
   if (!child) return;
   JsonReader members(child, path_ + "/" + name, findings_);
@@ -132,7 +134,7 @@
 
 void JsonReader::finish() {
   for (const auto& [name, unused] : *object_) {
-    if (!known_.contains(name)) report(name, "is not a known setting");
+    if (!requestedNames_.contains(name)) report(name, "is not a known setting");
   }
 }
 
--- a/Hallchute/src/Settings/JsonReader.h
+++ b/Hallchute/src/Settings/JsonReader.h
@@ -16,45 +16,45 @@
 
 namespace Hallchute {
 
-/// \brief Reads a JSON object member by member and collects every fault with its place.
+/// \brief Reads a JSON object member by member and collects every error with its JSON pointer.
 /// \ingroup Settings
 ///
-/// Each read marks its member as known; finish() reports the members that no read asked for.
+/// Each read marks its member as known; finish() reports the members that were never read.
 class JsonReader {
  public:
   /// \param path the JSON pointer of \p object in its document.
   JsonReader(JsonObject object, std::string path, Findings& findings);
 
-  /// \brief An integer within [\p least, \p most]; \p fallback if absent or faulty.
-  std::int64_t integer(const std::string& name, std::int64_t least, std::int64_t most,
-                       std::int64_t fallback);
-  /// \brief A number within [\p least, \p most]; \p fallback if absent or faulty.
-  double number(const std::string& name, double least, double most, double fallback);
-  bool boolean(const std::string& name, bool fallback);
-  /// \brief A string; a finding if it is absent and \p required.
+  /// \brief An integer in [\p minimum, \p maximum]; \p defaultValue if absent or invalid.
+  std::int64_t integer(const std::string& name, std::int64_t minimum, std::int64_t maximum,
+                       std::int64_t defaultValue);
+  /// \brief A number in [\p minimum, \p maximum]; \p defaultValue if absent or invalid.
+  double number(const std::string& name, double minimum, double maximum, double defaultValue);
+  bool boolean(const std::string& name, bool defaultValue);
+  /// \brief A string; adds a finding if it is absent and \p required.
   std::string text(const std::string& name, bool required);
-  /// \brief One of \p words; their first if absent.
-  std::string oneOf(const std::string& name, std::span<const std::string_view> words);
+  /// \brief One of \p allowed; the first of them if absent or invalid.
+  std::string oneOf(const std::string& name, std::span<const std::string_view> allowed);
   std::vector<std::string> texts(const std::string& name);
   bool has(const std::string& name) const;
-  /// \brief Runs \p read on the member object; does nothing if it is absent.
+  /// \brief Calls \p read for the member object; does nothing if it is absent.
   void object(const std::string& name, const std::function<void(JsonReader&)>& read);
-  /// \brief Runs \p read on each member of the member object, with the member's name.
-  void each(const std::string& name,
-            const std::function<void(const std::string&, JsonReader&)>& read);
-  /// \brief Adds a finding at the member \p name.
+  /// \brief Calls \p read for each member of the member object, with the name of that member.
+  void forEachObject(const std::string& name,
+                     const std::function<void(const std::string&, JsonReader&)>& read);
+  /// \brief Adds a finding for the member \p name.
   void report(const std::string& name, std::string message);
-  /// \brief Reports each member that was never asked for.
+  /// \brief Reports each member that was never read as unknown.
   void finish();
 
  private:
-  Poco::Dynamic::Var take(const std::string& name);
+  Poco::Dynamic::Var readMember(const std::string& name);
   JsonObject childObject(const std::string& name);
 
   JsonObject object_;
   std::string path_;
   Findings& findings_;
-  std::set<std::string> known_;
+  std::set<std::string> requestedNames_;
 };
 
 }  // namespace Hallchute
--- a/Hallchute/src/Settings/JsonTree.cpp
+++ b/Hallchute/src/Settings/JsonTree.cpp
@@ -50,12 +50,12 @@
   }
 }
 
-void compare(const std::string& path, const Var& before, const Var& after,
-             std::vector<JsonDifference>& found) {
+void collectDifferences(const std::string& path, const Var& before, const Var& after,
+                        std::vector<JsonDifference>& found) {
   if (!isObject(before) && !isObject(after)) {
-    const std::string was = before.isEmpty() ? "" : jsonText(before);
-    const std::string is = after.isEmpty() ? "" : jsonText(after);
-    if (was != is) found.push_back({path, was, is});
+    const std::string oldValue = before.isEmpty() ? "" : jsonText(before);
+    const std::string newValue = after.isEmpty() ? "" : jsonText(after);
+    if (oldValue != newValue) found.push_back({path, oldValue, newValue});
     return;
   }
   std::set<std::string> names;
@@ -67,16 +67,17 @@
     found.push_back({path, isObject(before) ? "{}" : "", isObject(after) ? "{}" : ""});
   }
   for (const std::string& name : names) {
-    const Var was = isObject(before) ? before.extract<JsonObject>()->get(name) : Var();
-    const Var is = isObject(after) ? after.extract<JsonObject>()->get(name) : Var();
-    std::string place = path;
-    place.append("/").append(name);
-    compare(place, was, is, found);
+    const Var oldValue = isObject(before) ? before.extract<JsonObject>()->get(name) : Var();
+    const Var newValue = isObject(after) ? after.extract<JsonObject>()->get(name) : Var();
+    std::string childPath = path;
+    childPath.append("/").append(name);
+    collectDifferences(childPath, oldValue, newValue, found);
   }
 }
 
-/// Poco's parser puts no line into its message: the place is where the longest prefix breaks.
-std::string lineOfFault(std::string_view text, const std::string& message) {
+/// POCO's parser reports no line. The line is estimated by scanning \p text up to the first
+/// unmatched closing bracket, or to the end of the text if there is none.
+std::string withErrorLine(std::string_view text, const std::string& message) {
   std::size_t line = 1;
   int depth = 0;
   bool quoted = false;
@@ -101,27 +102,27 @@
     if (isObject(value)) return value.extract<JsonObject>();
     findings.push_back({"", "must be a JSON object"});
   } catch (const Poco::Exception& e) {
-    findings.push_back({"", lineOfFault(text, "not valid JSON: " + e.message())});
+    findings.push_back({"", withErrorLine(text, "not valid JSON: " + e.message())});
   }
   return {};
 }
 
 std::string withoutBrokenText(std::string_view text) {
-  std::string clean(text);
+  std::string result(text);
   std::size_t i = 0;
-  while (i < clean.size()) {
-    const auto* bytes = reinterpret_cast<const unsigned char*>(clean.data()) + i;
+  while (i < result.size()) {
+    const auto* bytes = reinterpret_cast<const unsigned char*>(result.data()) + i;
     const int needed = Poco::UTF8Encoding().sequenceLength(bytes, 1);
     const auto length = static_cast<std::size_t>(std::max(1, needed));
-    const bool whole = needed > 0 && i + length <= clean.size();
-    if (whole && Poco::UTF8Encoding::isLegal(bytes, needed)) {
+    const bool complete = needed > 0 && i + length <= result.size();
+    if (complete && Poco::UTF8Encoding::isLegal(bytes, needed)) {
       i += length;
     } else {
-      clean[i] = '?';
+      result[i] = '?';
       ++i;
     }
   }
-  return clean;
+  return result;
 }
 
 std::string jsonText(const Var& value) {
@@ -148,7 +149,7 @@
 
 std::vector<JsonDifference> differences(const JsonObject& before, const JsonObject& after) {
   std::vector<JsonDifference> found;
-  compare("", before ? Var(before) : Var(), after ? Var(after) : Var(), found);
+  collectDifferences("", before ? Var(before) : Var(), after ? Var(after) : Var(), found);
   return found;
 }
 
--- a/Hallchute/src/Settings/JsonTree.h
+++ b/Hallchute/src/Settings/JsonTree.h
@@ -20,24 +20,26 @@
 
 /// \brief Parses a JSON object.
 /// \ingroup Settings
-/// \returns null after adding a finding that names line and cause, if \p text is no object.
+/// \returns null, after adding a finding with the line and the cause, if \p text isn't a JSON
+/// object.
 JsonObject parseJsonObject(std::string_view text, Findings& findings);
 
-/// \brief \p text with a question mark for each byte that belongs to no UTF-8 character: one member
-/// that holds such bytes must not make a whole document unreadable.
-/// \ingroup Settings
+/// \brief \p text with each byte outside a valid UTF-8 sequence replaced by a question mark, so
+/// that one member with invalid bytes doesn't make the whole document unparseable. \ingroup
+/// Settings
 std::string withoutBrokenText(std::string_view text);
 
-/// \brief The text of \p value on one line, keys in alphabetical order.
+/// \brief Serialises \p value on one line, with the keys in alphabetical order.
 /// \ingroup Settings
 std::string jsonText(const Poco::Dynamic::Var& value);
 
-/// \brief Applies a JSON merge patch (RFC 7386): null removes, objects merge, all else replaces.
+/// \brief Applies a JSON merge patch (RFC 7386): null removes a member, objects are merged, other
+/// values replace.
 /// \ingroup Settings
-/// \returns a new object; the arguments stay as they are.
+/// \returns a new object; the arguments are not modified.
 JsonObject mergePatch(const JsonObject& target, const JsonObject& patch);
 
-/// \brief One place at which two trees differ. An empty text stands for "absent".
+/// \brief One path at which two trees differ. An empty string means that the value is absent.
 /// \ingroup Settings
 struct JsonDifference {
   std::string path;
@@ -46,7 +48,7 @@
   bool operator==(const JsonDifference&) const = default;
 };
 
-/// \brief Every leaf at which the trees differ, in the order of their paths.
+/// \brief Every leaf at which the trees differ, ordered by path.
 /// \ingroup Settings
 std::vector<JsonDifference> differences(const JsonObject& before, const JsonObject& after);
 
--- a/Hallchute/src/Settings/Organisation.h
+++ b/Hallchute/src/Settings/Organisation.h
@@ -14,7 +14,7 @@
 
 namespace Hallchute {
 
-/// \brief A customer: its keys, the services it may use, its share.
+/// \brief A tenant: its API keys, the services it may use and its scheduling weight.
 /// \ingroup Settings
 struct Organisation {
   OrganisationName name;
--- a/Hallchute/src/Settings/PolicyKey.h
+++ b/Hallchute/src/Settings/PolicyKey.h
@@ -12,8 +12,8 @@
 
 namespace Hallchute {
 
-/// \brief A number that each level of the tree may set: fleet, failure domain, service,
-/// organisation.
+/// \brief A numeric setting that each level of the tree may override: fleet, failure domain,
+/// service, organisation.
 /// \ingroup Settings
 enum class PolicyKey : std::size_t {
   queueLimitMs,
@@ -42,23 +42,23 @@
 
 inline constexpr std::size_t kPolicyKeyCount = static_cast<std::size_t>(PolicyKey::count);
 
-/// \brief The name, range, default and meaning of one PolicyKey.
+/// \brief The name, range, default value, unit and description of one PolicyKey.
 /// \ingroup Settings
 struct PolicySpec {
   PolicyKey key;
   std::string_view name;
-  std::int64_t least;
-  std::int64_t most;
-  std::int64_t fallback;
+  std::int64_t minimum;
+  std::int64_t maximum;
+  std::int64_t defaultValue;
   std::string_view unit;
   std::string_view meaning;
 };
 
-/// \brief All specifications, in the order of PolicyKey.
+/// \brief The specifications of all keys, in the order of PolicyKey.
 /// \ingroup Settings
 std::span<const PolicySpec> policySpecs();
 
-/// \brief The key called \p name, if there is one.
+/// \brief The key with the name \p name, if there is one.
 /// \ingroup Settings
 std::optional<PolicyKey> policyKeyNamed(std::string_view name);
 
--- a/Hallchute/src/Settings/PolicyValues.h
+++ b/Hallchute/src/Settings/PolicyValues.h
@@ -12,7 +12,7 @@
 
 namespace Hallchute {
 
-/// \brief The policy numbers that one level of the tree sets; the others are inherited.
+/// \brief The policy values that one level of the tree sets; all others are inherited.
 /// \ingroup Settings
 class PolicyValues {
  public:
--- a/Hallchute/src/Settings/ServiceSettings.h
+++ b/Hallchute/src/Settings/ServiceSettings.h
@@ -9,22 +9,22 @@
 
 namespace Hallchute {
 
-/// \brief What stands behind a service's name.
+/// \brief Whether a service is a model engine or a plain HTTP service.
 /// \ingroup Settings
 enum class ServiceKind { model, plain };
 
-/// \brief Whether hallchute may order a service's upstreams about, or only routes to them.
+/// \brief Whether hallchute manages a service's upstreams or only routes requests to them.
 /// \ingroup Settings
 enum class ServiceMode { observe, manage };
 
-/// \brief One declared service.
+/// \brief The settings of one service.
 /// \ingroup Settings
 struct ServiceSettings {
   ServiceName name;
   ServiceKind kind = ServiceKind::model;
   ServiceMode mode = ServiceMode::observe;
   ClassName defaultClass;
-  /// Whether its upstreams reject an order whose fencing token is older than one seen.
+  /// Whether its upstreams reject orders with a fencing token older than the newest one seen.
   bool checksOrders = false;
   PolicyValues policy;
 };
--- a/Hallchute/src/Settings/SettingsChange.cpp
+++ b/Hallchute/src/Settings/SettingsChange.cpp
@@ -11,14 +11,15 @@
 namespace Hallchute {
 namespace {
 
-constexpr std::int64_t kMaxNumber = 9'999'999'999;
-constexpr int kNumberDigits = 10;
+constexpr std::int64_t kMaxChangeNumber = 9'999'999'999;
+constexpr int kChangeNumberDigits = 10;
 
 }  // namespace
 
 std::string changeKey(std::uint64_t number) {
   std::string digits = std::to_string(number);
-  digits.insert(0, kNumberDigits > digits.size() ? kNumberDigits - digits.size() : 0, '0');
+  digits.insert(0, kChangeNumberDigits > digits.size() ? kChangeNumberDigits - digits.size() : 0,
+                '0');
   return std::string(kChangePrefix) + digits;
 }
 
@@ -48,7 +49,7 @@
   const JsonObject json = parseJsonObject(text, findings);
   if (!json) return change;
   JsonReader reader(json, "", findings);
-  const auto number = static_cast<std::uint64_t>(reader.integer("number", 1, kMaxNumber, 0));
+  const auto number = static_cast<std::uint64_t>(reader.integer("number", 1, kMaxChangeNumber, 0));
   change.id = reader.text("id", true);
   change.author = reader.text("author", true);
   change.reason = reader.text("reason", true);
--- a/Hallchute/src/Settings/SettingsChange.h
+++ b/Hallchute/src/Settings/SettingsChange.h
@@ -13,31 +13,31 @@
 
 namespace Hallchute {
 
-/// \brief One accepted change of the settings, as it stands in the log for ever.
+/// \brief One accepted change of the settings; an immutable entry of the change log.
 /// \ingroup Settings
 struct SettingsChange {
   std::uint64_t number = 0;
-  /// Random; tells after a lost reply whose change took the number.
+  /// Random; identifies the writer that won the number when the reply to the write was lost.
   std::string id;
   std::string author;
   std::string reason;
-  /// UTC, ISO 8601, from the clock of the daemon that proposed it.
+  /// UTC, ISO 8601; the wall-clock time of the daemon that proposed the change.
   std::string at;
   /// The JSON merge patch.
   JsonObject patch;
-  /// What it changed, with the values before and after.
+  /// The changed paths, with the values before and after.
   std::vector<JsonDifference> differences;
 };
 
-/// \brief The platform key of change \p number: numbers sort as text.
-/// \ingroup Settings
+/// \brief The key of change \p number in the platform store, zero-padded so that keys sort by
+/// number. \ingroup Settings
 std::string changeKey(std::uint64_t number);
 
 inline constexpr std::string_view kChangePrefix = "settings/changes/";
 
 std::string changeText(const SettingsChange& change);
 
-/// \returns a change with number 0 after adding findings, if \p text is no change.
+/// \returns a change with number 0, after adding findings, if \p text is not a valid change.
 SettingsChange parseChange(std::string_view text, Findings& findings);
 
 }  // namespace Hallchute
--- a/Hallchute/src/Settings/SettingsTree.cpp
+++ b/Hallchute/src/Settings/SettingsTree.cpp
@@ -16,7 +16,7 @@
 constexpr std::int64_t kMaxPriority = 9;
 constexpr std::int64_t kMaxWeight = 1'000;
 constexpr std::int64_t kMaxTargetMs = 86'400'000;
-constexpr std::size_t kHashLength = 64;
+constexpr std::size_t kSha256HexDigits = 64;
 
 PolicyValues readPolicy(JsonReader& owner) {
   PolicyValues values;
@@ -24,7 +24,7 @@
     for (const PolicySpec& spec : policySpecs()) {
       const std::string name(spec.name);
       if (!reader.has(name)) continue;
-      values.set(spec.key, reader.integer(name, spec.least, spec.most, spec.fallback));
+      values.set(spec.key, reader.integer(name, spec.minimum, spec.maximum, spec.defaultValue));
     }
   });
   return values;
@@ -54,8 +54,8 @@
   return work;
 }
 
-bool isHash(const std::string& text) {
-  return text.size() == kHashLength &&
+bool isSha256Hex(const std::string& text) {
+  return text.size() == kSha256HexDigits &&
          text.find_first_not_of("0123456789abcdef") == std::string::npos;
 }
 
@@ -64,7 +64,7 @@
   organisation.name = OrganisationName(name);
   organisation.keySha256 = reader.texts("keySha256");
   for (std::size_t i = 0; i < organisation.keySha256.size(); ++i) {
-    if (isHash(organisation.keySha256[i])) continue;
+    if (isSha256Hex(organisation.keySha256[i])) continue;
     reader.report("keySha256/" + std::to_string(i), "must be 64 lower-case hexadecimal digits");
   }
   for (std::string& service : reader.texts("services")) {
@@ -90,8 +90,8 @@
   }
 }
 
-std::string memberRow(std::string_view place, std::string_view type, std::string_view meaning) {
-  return "| `" + std::string(place) + "` | " + std::string(type) + " | " + std::string(meaning) +
+std::string memberRow(std::string_view path, std::string_view type, std::string_view meaning) {
+  return "| `" + std::string(path) + "` | " + std::string(type) + " | " + std::string(meaning) +
          " |\n";
 }
 
@@ -99,21 +99,21 @@
 
 PolicyAnswer SettingsTree::explain(PolicyKey key, const PolicyScope& scope) const {
   const PolicySpec& spec = policySpecs()[static_cast<std::size_t>(key)];
-  PolicyAnswer answer{spec.fallback, "default"};
-  const auto consider = [&](const PolicyValues& values, const std::string& level) {
-    if (const auto value = values.get(key)) answer = {*value, level};
+  PolicyAnswer resolved{spec.defaultValue, "default"};
+  const auto applyLevel = [&](const PolicyValues& values, const std::string& level) {
+    if (const auto value = values.get(key)) resolved = {*value, level};
   };
-  consider(fleet, "fleet");
+  applyLevel(fleet, "fleet");
   if (const auto it = failureDomains.find(scope.domain); it != failureDomains.end()) {
-    consider(it->second, "failureDomains/" + it->first.str());
+    applyLevel(it->second, "failureDomains/" + it->first.str());
   }
   if (const auto it = services.find(scope.service); it != services.end()) {
-    consider(it->second.policy, "services/" + it->first.str());
+    applyLevel(it->second.policy, "services/" + it->first.str());
   }
   if (const auto it = organisations.find(scope.organisation); it != organisations.end()) {
-    consider(it->second.policy, "organisations/" + it->first.str());
+    applyLevel(it->second.policy, "organisations/" + it->first.str());
   }
-  return answer;
+  return resolved;
 }
 
 std::int64_t SettingsTree::policy(PolicyKey key, const PolicyScope& scope) const {
@@ -124,8 +124,8 @@
   const std::string hash = secretHash(token);
   const Organisation* found = nullptr;
   for (const auto& [name, organisation] : organisations) {
-    for (const std::string& known : organisation.keySha256) {
-      if (equalInConstantTime(hash, known)) found = &organisation;
+    for (const std::string& keyHash : organisation.keySha256) {
+      if (equalInConstantTime(hash, keyHash)) found = &organisation;
     }
   }
   return found;
@@ -135,16 +135,16 @@
   SettingsTree tree;
   JsonReader root(json, "", findings);
   root.object("fleet", [&](JsonReader& reader) { tree.fleet = readPolicy(reader); });
-  root.each("failureDomains", [&](const std::string& name, JsonReader& reader) {
+  root.forEachObject("failureDomains", [&](const std::string& name, JsonReader& reader) {
     tree.failureDomains[DomainName(name)] = readPolicy(reader);
   });
-  root.each("services", [&](const std::string& name, JsonReader& reader) {
+  root.forEachObject("services", [&](const std::string& name, JsonReader& reader) {
     tree.services[ServiceName(name)] = readService(name, reader);
   });
-  root.each("workClasses", [&](const std::string& name, JsonReader& reader) {
+  root.forEachObject("workClasses", [&](const std::string& name, JsonReader& reader) {
     tree.workClasses[ClassName(name)] = readWorkClass(name, reader);
   });
-  root.each("organisations", [&](const std::string& name, JsonReader& reader) {
+  root.forEachObject("organisations", [&](const std::string& name, JsonReader& reader) {
     tree.organisations[OrganisationName(name)] = readOrganisation(name, reader);
   });
   root.finish();
@@ -154,34 +154,35 @@
 
 std::string settingsReference() {
   std::string page = "## Members of the tree\n\n| place | type | meaning |\n|---|---|---|\n";
-  page += memberRow("/fleet/policy", "object", "policy numbers for everything");
+  page += memberRow("/fleet/policy", "object", "policy values for the whole fleet");
   page += memberRow("/failureDomains/NAME/policy", "object", "overrides in one failure domain");
   page += memberRow("/services/NAME/kind", "model, plain", "a model engine or a plain service");
   page += memberRow("/services/NAME/mode", "observe, manage",
-                    "observe: hallchute routes to it but orders nothing");
+                    "observe: hallchute routes requests to it but sends no orders");
   page += memberRow("/services/NAME/defaultClass", "work class, required",
-                    "class of a request that names none");
+                    "class of a request that specifies none");
   page += memberRow("/services/NAME/checksOrders", "boolean, false",
-                    "its upstreams reject orders with an old fencing token");
+                    "its upstreams reject orders with an outdated fencing token");
   page += memberRow("/services/NAME/policy", "object", "overrides for one service");
   page += memberRow("/workClasses/NAME/priority", "0..9, 5", "9 is the most urgent");
-  page += memberRow("/workClasses/NAME/firstTokenMs", "ms, 1900", "target to the first token");
-  page += memberRow("/workClasses/NAME/gapMs", "ms, 32", "target between tokens");
+  page += memberRow("/workClasses/NAME/firstTokenMs", "ms, 1900", "target time to first token");
+  page += memberRow("/workClasses/NAME/gapMs", "ms, 32", "target time between tokens");
   page += memberRow("/workClasses/NAME/repeatable", "boolean, true",
                     "false: runs at most once and needs an Idempotency-Key");
   page += memberRow("/workClasses/NAME/durable", "boolean, false",
-                    "a record on the platform lets the work outlive every host");
-  page += memberRow("/workClasses/NAME/serveWithoutRecord", "boolean, false",
-                    "durable work is served attached while the platform is out, else refused");
+                    "the work is recorded on the platform and survives the loss of any host");
+  page += memberRow(
+      "/workClasses/NAME/serveWithoutRecord", "boolean, false",
+      "durable work is served attached while the platform is out of service, else refused");
   page += memberRow("/organisations/NAME/keySha256", "strings", "SHA-256 of each bearer token");
-  page += memberRow("/organisations/NAME/services", "strings", "services it may use");
-  page += memberRow("/organisations/NAME/weight", "1..1000, 1", "share under contention");
+  page += memberRow("/organisations/NAME/services", "strings", "services that it may use");
+  page += memberRow("/organisations/NAME/weight", "1..1000, 1", "relative share under contention");
   page += memberRow("/organisations/NAME/policy", "object", "overrides for one organisation");
   page +=
-      "\n## Policy numbers\n\n| name | range | default | unit | meaning |\n|---|---|---|---|---|\n";
+      "\n## Policy values\n\n| name | range | default | unit | meaning |\n|---|---|---|---|---|\n";
   for (const PolicySpec& spec : policySpecs()) {
-    page += "| `" + std::string(spec.name) + "` | " + std::to_string(spec.least) + ".." +
-            std::to_string(spec.most) + " | " + std::to_string(spec.fallback) + " | " +
+    page += "| `" + std::string(spec.name) + "` | " + std::to_string(spec.minimum) + ".." +
+            std::to_string(spec.maximum) + " | " + std::to_string(spec.defaultValue) + " | " +
             std::string(spec.unit) + " | " + std::string(spec.meaning) + " |\n";
   }
   return page;
--- a/Hallchute/src/Settings/SettingsTree.h
+++ b/Hallchute/src/Settings/SettingsTree.h
@@ -17,7 +17,7 @@
 
 namespace Hallchute {
 
-/// \brief For whom a policy number is asked. Empty names skip their level.
+/// \brief The scope for which a policy value is resolved. An empty name skips its level.
 /// \ingroup Settings
 struct PolicyScope {
   DomainName domain;
@@ -25,7 +25,7 @@
   OrganisationName organisation;
 };
 
-/// \brief A policy number and the level of the tree that gave it.
+/// \brief A resolved policy value and the level of the tree that set it.
 /// \ingroup Settings
 struct PolicyAnswer {
   std::int64_t value = 0;
@@ -33,7 +33,7 @@
   std::string level;
 };
 
-/// \brief A checked tree of settings.
+/// \brief A validated tree of settings.
 /// \ingroup Settings
 struct SettingsTree {
   PolicyValues fleet;
@@ -42,19 +42,20 @@
   std::map<ClassName, WorkClass> workClasses;
   std::map<OrganisationName, Organisation> organisations;
 
-  /// \brief The number in force: the most particular level that sets it, else the default.
+  /// \brief Resolves a policy value: the most specific level that sets it wins, else the default.
   PolicyAnswer explain(PolicyKey key, const PolicyScope& scope) const;
   std::int64_t policy(PolicyKey key, const PolicyScope& scope) const;
-  /// \brief The organisation whose key \p token is, or null. Time depends on lengths only.
+  /// \brief The organisation to which the bearer token \p token belongs, or null. Constant time:
+  /// the running time depends on lengths only.
   const Organisation* organisationOf(std::string_view token) const;
 };
 
-/// \brief Reads and checks a whole tree; every fault is added to \p findings.
+/// \brief Reads and validates a whole tree; every error is added to \p findings.
 /// \ingroup Settings
-/// \returns the tree, to be used only if no finding was added.
+/// \returns the tree; valid only if no finding was added.
 SettingsTree readSettings(const JsonObject& json, Findings& findings);
 
-/// \brief The reference of all settings as a Markdown page, made from the specifications.
+/// \brief The reference of all settings in Markdown, generated from the specifications.
 /// \ingroup Settings
 std::string settingsReference();
 
--- a/Hallchute/src/Settings/WorkClass.h
+++ b/Hallchute/src/Settings/WorkClass.h
@@ -11,10 +11,10 @@
 
 namespace Hallchute {
 
-/// \brief A class of work that organisations send.
+/// \brief A class of requests, with its priority, latency targets and delivery guarantees.
 /// \ingroup Settings
 ///
-/// Units: targets in milliseconds. `priority` 0 is the most patient, 9 the most urgent.
+/// Targets are in milliseconds. `priority` ranges from 0 (lowest) to 9 (most urgent).
 struct WorkClass {
   ClassName name;
   std::int64_t priority = 5;
@@ -22,7 +22,7 @@
   std::int64_t gapMs = 32;
   bool repeatable = true;
   bool durable = false;
-  /// Whether durable work is served without its record while the platform is out.
+  /// Whether durable work is served without a record while the platform is unavailable.
   bool serveWithoutRecord = false;
 };
 
