--- a/Hallchute/src/Admission/GrantAction.h
+++ b/Hallchute/src/Admission/GrantAction.h
@@ -7,7 +7,7 @@
 #include <cstddef>
 #include <variant>
 
-#include "Hallchute/src/Admission/GrantWanted.h"
+#include "Hallchute/src/Admission/GrantRequest.h"
 #include "Hallchute/src/Core/Refusal.h"
 
 namespace Hallchute {
--- a/Hallchute/src/Admission/GrantWanted.h
+++ b/Hallchute/src/Admission/GrantRequest.h
@@ -1,8 +1,8 @@
 // This file is part of hallchute, a serving system for language models.
 // SPDX-License-Identifier: Apache-2.0
 
-#ifndef HALLCHUTE_ADMISSION_GRANTWANTED_H
-#define HALLCHUTE_ADMISSION_GRANTWANTED_H
+#ifndef HALLCHUTE_ADMISSION_GRANTREQUEST_H
+#define HALLCHUTE_ADMISSION_GRANTREQUEST_H
 
 #include <cstdint>
 #include <optional>
@@ -19,7 +19,7 @@
 
 /// \brief A daemon's wish for a place at an upstream.
 /// \ingroup Admission
-struct GrantWanted {
+struct GrantRequest {
   GrantId id = 0;
   OrganisationName organisation;
   double weight = 1;
@@ -30,7 +30,7 @@
   std::uint64_t affinity = 0;
   std::vector<std::uint64_t> prefixHashes;
   /// Upstreams that already failed this request.
-  std::vector<UpstreamId> avoid;
+  std::vector<UpstreamId> failedUpstreams;
   /// Work already begun, that moves from a leaving or failed upstream, goes before new work.
   bool resumption = false;
   /// Refused once it passes.
@@ -39,7 +39,7 @@
 
 /// \brief A grant made by an earlier owner and reported to its successor.
 /// \ingroup Admission
-struct GrantHeld {
+struct ExistingGrant {
   GrantId id = 0;
   UpstreamId upstream;
   OrganisationName organisation;
@@ -52,4 +52,4 @@
 
 }  // namespace Hallchute
 
-#endif  // HALLCHUTE_ADMISSION_GRANTWANTED_H
+#endif  // HALLCHUTE_ADMISSION_GRANTREQUEST_H
--- a/Hallchute/src/Admission/ShardOwner.cpp
+++ b/Hallchute/src/Admission/ShardOwner.cpp
@@ -20,13 +20,14 @@
 /// A resumption goes before any new work, whatever its class.
 constexpr double kResumptionUrgency = 1e6;
 
-std::size_t costOf(const GrantWanted& wanted) {
+std::size_t costOf(const GrantRequest& wanted) {
   return wanted.promptTokens + wanted.expectedTokens;
 }
 
-bool avoids(const GrantWanted& wanted, const UpstreamId& upstream) {
-  const auto& avoid = wanted.avoid;
-  return std::find(avoid.begin(), avoid.end(), upstream) != avoid.end();
+bool avoids(const GrantRequest& wanted, const UpstreamId& upstream) {
+  const auto& failedUpstreams = wanted.failedUpstreams;
+  return std::find(failedUpstreams.begin(), failedUpstreams.end(), upstream) !=
+         failedUpstreams.end();
 }
 
 Refusal refusal(RefusalReason reason, std::string detail, Millis retryAfter) {
@@ -69,7 +70,7 @@
   return actions;
 }
 
-std::vector<GrantAction> ShardOwner::markLeaving(const UpstreamId& upstream, Instant now) {
+std::vector<GrantAction> ShardOwner::markDraining(const UpstreamId& upstream, Instant now) {
   std::vector<GrantAction> actions;
   if (const auto slot = slotOf(upstream)) upstreams_[*slot].leaving = true;
   grantWaiting(now, actions);
@@ -108,7 +109,7 @@
   return slot ? upstreams_[*slot].inFlight : 0;
 }
 
-std::vector<GrantAction> ShardOwner::want(GrantWanted wanted, Instant now) {
+std::vector<GrantAction> ShardOwner::requestGrant(GrantRequest wanted, Instant now) {
   if (auto refused = limitRefusal(wanted, now)) return {GrantRefused{wanted.id, *refused}};
   if (queue_.empty() || wanted.resumption) {
     if (auto granted = tryGrant(wanted, now)) return {*granted};
@@ -126,7 +127,7 @@
   return actions;
 }
 
-std::optional<Refusal> ShardOwner::limitRefusal(const GrantWanted& wanted, Instant now) {
+std::optional<Refusal> ShardOwner::limitRefusal(const GrantRequest& wanted, Instant now) {
   if (now >= wanted.deadline) {
     return refusal(RefusalReason::overloaded, "its deadline passed before it came to be queued",
                    expectedWait(now));
@@ -147,7 +148,7 @@
 }
 
 /// The queue is full: the wish that would be served last goes, be it the new one.
-GrantRefused ShardOwner::makeRoom(const GrantWanted& wanted, Instant now) {
+GrantRefused ShardOwner::makeRoom(const GrantRequest& wanted, Instant now) {
   const Refusal full = refusal(RefusalReason::overloaded, "the queue is full", expectedWait(now));
   Rank last = rankOf(Waiting{wanted, now}, queue_.size(), now);
   for (std::size_t i = 0; i < queue_.size(); ++i) {
@@ -174,7 +175,7 @@
   return {-static_cast<std::int64_t>(urgency), share, waiting.since, index};
 }
 
-std::optional<Granted> ShardOwner::tryGrant(const GrantWanted& wanted, Instant now) {
+std::optional<Granted> ShardOwner::tryGrant(const GrantRequest& wanted, Instant now) {
   std::vector<Candidate> candidates;
   std::size_t usableCount = 0;
   std::size_t usableInFlight = 0;
@@ -211,7 +212,7 @@
 }
 
 /// \returns for each number of leading blocks held, what the rest of the prompt costs to compute.
-std::vector<double> ShardOwner::computeCosts(const GrantWanted& wanted) const {
+std::vector<double> ShardOwner::computeCosts(const GrantRequest& wanted) const {
   constexpr std::size_t kBlock = PrefixBlocks::kTokensPerBlock;
   const std::size_t blocks = wanted.prefixHashes.size();
   const std::size_t inBlocks = std::min(wanted.promptTokens, blocks * kBlock);
@@ -228,7 +229,7 @@
   return costs;
 }
 
-Granted ShardOwner::place(const GrantWanted& wanted, std::size_t slot, std::size_t cached,
+Granted ShardOwner::place(const GrantRequest& wanted, std::size_t slot, std::size_t cached,
                           Instant now) {
   OwnedUpstream& upstream = upstreams_[slot];
   const std::size_t cost = costOf(wanted);
@@ -272,7 +273,7 @@
   }
 }
 
-void ShardOwner::hold(const GrantHeld& held) {
+void ShardOwner::hold(const ExistingGrant& held) {
   auto slot = slotOf(held.upstream);
   if (!slot) {
     upstreams_.emplace_back(held.upstream, stableHash(held.upstream.str()),
--- a/Hallchute/src/Admission/ShardOwner.h
+++ b/Hallchute/src/Admission/ShardOwner.h
@@ -11,7 +11,7 @@
 
 #include "Hallchute/src/Admission/FairShare.h"
 #include "Hallchute/src/Admission/GrantAction.h"
-#include "Hallchute/src/Admission/GrantWanted.h"
+#include "Hallchute/src/Admission/GrantRequest.h"
 #include "Hallchute/src/Admission/OwnedUpstream.h"
 #include "Hallchute/src/Admission/ShardPolicy.h"
 #include "Hallchute/src/Admission/TokenBucket.h"
@@ -36,10 +36,10 @@
   /// \brief Sets the upstreams that live. Those not named are forgotten once their work ends.
   std::vector<GrantAction> setUpstreams(std::span<const UpstreamId> live, Instant now);
   /// \brief From now on nothing is granted at \p upstream. Idempotent.
-  std::vector<GrantAction> markLeaving(const UpstreamId& upstream, Instant now);
-  std::vector<GrantAction> want(GrantWanted wanted, Instant now);
+  std::vector<GrantAction> markDraining(const UpstreamId& upstream, Instant now);
+  std::vector<GrantAction> requestGrant(GrantRequest wanted, Instant now);
   /// \brief Counts work that an earlier owner granted.
-  void hold(const GrantHeld& held);
+  void hold(const ExistingGrant& held);
   /// \brief The work's prompt is computed: its upstream can take the next one.
   std::vector<GrantAction> noteFirstToken(GrantId id, Instant now);
   /// \brief Frees the place or leaves the queue. Unknown ids are ignored.
@@ -56,7 +56,7 @@
 
  private:
   struct Waiting {
-    GrantWanted wanted;
+    GrantRequest wanted;
     Instant since;
   };
   struct Running {
@@ -76,11 +76,11 @@
     auto operator<=>(const Rank&) const = default;
   };
 
-  std::optional<Refusal> limitRefusal(const GrantWanted& wanted, Instant now);
-  GrantRefused makeRoom(const GrantWanted& wanted, Instant now);
-  std::optional<Granted> tryGrant(const GrantWanted& wanted, Instant now);
-  std::vector<double> computeCosts(const GrantWanted& wanted) const;
-  Granted place(const GrantWanted& wanted, std::size_t slot, std::size_t cached, Instant now);
+  std::optional<Refusal> limitRefusal(const GrantRequest& wanted, Instant now);
+  GrantRefused makeRoom(const GrantRequest& wanted, Instant now);
+  std::optional<Granted> tryGrant(const GrantRequest& wanted, Instant now);
+  std::vector<double> computeCosts(const GrantRequest& wanted) const;
+  Granted place(const GrantRequest& wanted, std::size_t slot, std::size_t cached, Instant now);
   void grantWaiting(Instant now, std::vector<GrantAction>& actions);
   std::vector<std::size_t> queueOrder(Instant now) const;
   Rank rankOf(const Waiting& waiting, std::size_t index, Instant now) const;
--- a/Hallchute/src/Capacity/ReplicaPlanner.cpp
+++ b/Hallchute/src/Capacity/ReplicaPlanner.cpp
@@ -29,7 +29,7 @@
   return it != refusedUntil_.end() && now < it->second;
 }
 
-void ReplicaPlanner::startOver(bool tookOver) {
+void ReplicaPlanner::resetOrders(bool tookOver) {
   tookOver_ = tookOver;
   ordered_.clear();
   demands_.clear();
--- a/Hallchute/src/Capacity/ReplicaPlanner.h
+++ b/Hallchute/src/Capacity/ReplicaPlanner.h
@@ -69,7 +69,7 @@
   void noteRefused(const ReplicaGroup& group, Instant now);
   /// \brief Another daemon ordered meanwhile: what was ordered last is not known any more.
   /// \param tookOver an earlier holder's choice is there, and the load is not fully heard of yet.
-  void startOver(bool tookOver);
+  void resetOrders(bool tookOver);
   /// \brief How many replicas a service was last found to need; 0 before the first plan.
   std::uint32_t need(const ServiceName& service) const;
 
--- a/Hallchute/src/Daemon/AnswerRunner.cpp
+++ b/Hallchute/src/Daemon/AnswerRunner.cpp
@@ -57,22 +57,22 @@
 }
 
 AnswerRunner::Next AnswerRunner::step() {
-  if (job_->order() == JobOrder::cancel) {
+  if (job_->command() == JobCommand::cancel) {
     job_->refuse(lastRefusal(RefusalReason::badRequest, "cancelled by its caller"));
     return Next::done;
   }
-  if (job_->order() == JobOrder::pause) {
-    job_->notePaused();
+  if (job_->command() == JobCommand::pause) {
+    job_->markPaused();
     return Next::done;
   }
-  if (job_->order() == JobOrder::move) job_->takeMove();
+  if (job_->command() == JobCommand::move) job_->takeMove();
   if (clockNow() >= job_->spec().deadline) {
     job_->refuse(lastRefusal(RefusalReason::upstreamFailed, "requestLimitMs has passed"));
     return Next::done;
   }
   GrantOutcome outcome = context_.acquire(makeSpec());
   if (const auto* refusal = std::get_if<Refusal>(&outcome)) return onRefused(*refusal);
-  return attempt(*std::get<std::unique_ptr<GrantHold>>(outcome));
+  return attempt(*std::get<std::unique_ptr<ScopedGrant>>(outcome));
 }
 
 GrantSpec AnswerRunner::makeSpec() const {
@@ -86,7 +86,7 @@
   spec.wanted.expectedTokens = job.maxTokens - std::min(job.maxTokens, job_->tokenCount());
   spec.wanted.affinity = job.affinity;
   spec.wanted.prefixHashes = job.prefixHashes;
-  spec.wanted.avoid = avoid_;
+  spec.wanted.failedUpstreams = avoid_;
   spec.wanted.resumption = resumption_;
   spec.wanted.deadline = std::min(clockNow() + job.queueLimit, job.deadline);
   return spec;
@@ -100,7 +100,8 @@
     return Next::done;
   }
   // An accepted request waits for a place as long as its deadline allows.
-  job_->pauseFor(std::clamp(refusal.retryAfter.value_or(kMostPause), kLeastPause, kMostPause));
+  job_->waitForCommand(
+      std::clamp(refusal.retryAfter.value_or(kMostPause), kLeastPause, kMostPause));
   return Next::again;
 }
 
@@ -125,7 +126,7 @@
   return request;
 }
 
-AnswerRunner::Next AnswerRunner::attempt(GrantHold& hold) {
+AnswerRunner::Next AnswerRunner::attempt(ScopedGrant& hold) {
   EngineHttp engine(hold.address(), context_.ownIp,
                     Millis(policyNumber(context_, job_->spec(), PolicyKey::connectLimitMs)));
   const std::uint64_t epoch = job_->beginAttempt(hold.upstream());
@@ -138,7 +139,7 @@
   return afterStream(hold, engine, epoch, result);
 }
 
-bool AnswerRunner::onEvent(const EngineEvent& event, const GrantHold& hold) {
+bool AnswerRunner::onEvent(const EngineEvent& event, const ScopedGrant& hold) {
   dispatched_ = true;
   std::visit(
       Overloaded{[&](const ComputedWord& word) {
@@ -166,7 +167,7 @@
       event);
   resumption_ = resumption_ || job_->tokenCount() > 0;
   if (clockNow() >= job_->spec().deadline) return false;
-  return !finished_ && !gap_ && job_->order() == JobOrder::none;
+  return !finished_ && !gap_ && job_->command() == JobCommand::none;
 }
 
 void AnswerRunner::noteToken() {
@@ -180,7 +181,7 @@
   lastToken_ = now;
 }
 
-AnswerRunner::Next AnswerRunner::afterStream(GrantHold& hold, EnginePort& engine,
+AnswerRunner::Next AnswerRunner::afterStream(ScopedGrant& hold, EnginePort& engine,
                                              std::uint64_t epoch, const StreamResult& result) {
   if (finished_) {
     hold.end(GrantEnd::finished);
@@ -191,9 +192,10 @@
   return onFailure(hold, result);
 }
 
-AnswerRunner::Next AnswerRunner::onOrder(GrantHold& hold, EnginePort& engine, std::uint64_t epoch) {
+AnswerRunner::Next AnswerRunner::onOrder(ScopedGrant& hold, EnginePort& engine,
+                                         std::uint64_t epoch) {
   const std::string request = job_->spec().request.str();
-  if (job_->order() == JobOrder::move) {
+  if (job_->command() == JobCommand::move) {
     const Migration migration = job_->takeMove();
     const bool moves = std::holds_alternative<MoveCache>(migration);
     if (moves) cache_ = engine.exportCache(request, epoch);
@@ -210,7 +212,7 @@
   return Next::again;
 }
 
-AnswerRunner::Next AnswerRunner::onFailure(GrantHold& hold, const StreamResult& result) {
+AnswerRunner::Next AnswerRunner::onFailure(ScopedGrant& hold, const StreamResult& result) {
   logLine(LogLevel::warning, "attempt at " + hold.upstream().str() + " failed: " + result.detail);
   avoid_.push_back(hold.upstream());
   if (avoid_.size() > kMostAvoided) avoid_.erase(avoid_.begin());
@@ -231,7 +233,7 @@
   ++failures_;
   if (accepted()) {
     // It is accepted: the budget does not end it, it only slows it down.
-    if (!context_.budgets.tryConsumeRetry(job_->spec().service)) job_->pauseFor(kMostPause);
+    if (!context_.budgets.tryConsumeRetry(job_->spec().service)) job_->waitForCommand(kMostPause);
     return Next::again;
   }
   const bool mayRetry = failures_ < policyNumber(context_, job_->spec(), PolicyKey::maxAttempts) &&
--- a/Hallchute/src/Daemon/AnswerRunner.h
+++ b/Hallchute/src/Daemon/AnswerRunner.h
@@ -34,12 +34,12 @@
 
   Next step();
   Next onRefused(const Refusal& refusal);
-  Next attempt(GrantHold& hold);
-  Next afterStream(GrantHold& hold, EnginePort& engine, std::uint64_t epoch,
+  Next attempt(ScopedGrant& hold);
+  Next afterStream(ScopedGrant& hold, EnginePort& engine, std::uint64_t epoch,
                    const StreamResult& result);
-  Next onOrder(GrantHold& hold, EnginePort& engine, std::uint64_t epoch);
-  Next onFailure(GrantHold& hold, const StreamResult& result);
-  bool onEvent(const EngineEvent& event, const GrantHold& hold);
+  Next onOrder(ScopedGrant& hold, EnginePort& engine, std::uint64_t epoch);
+  Next onFailure(ScopedGrant& hold, const StreamResult& result);
+  bool onEvent(const EngineEvent& event, const ScopedGrant& hold);
   void noteToken();
   GenerateRequest makeRequest(EnginePort& engine, std::uint64_t epoch);
   GrantSpec makeSpec() const;
--- a/Hallchute/src/Daemon/AnswerWriter.cpp
+++ b/Hallchute/src/Daemon/AnswerWriter.cpp
@@ -143,7 +143,7 @@
   out.flush();
 }
 
-void AnswerWriter::whole() {
+void AnswerWriter::writeDocument() {
   JobView view;
   do {
     view = job_->view(SIZE_MAX, kWait);
--- a/Hallchute/src/Daemon/AnswerWriter.h
+++ b/Hallchute/src/Daemon/AnswerWriter.h
@@ -31,7 +31,7 @@
   /// is gone.
   void stream(std::size_t offset);
   /// \brief One JSON document once the answer is whole.
-  void whole();
+  void writeDocument();
 
  private:
   bool waitForStart(std::size_t offset, JobView& view);
--- a/Hallchute/src/Daemon/CallerRequest.cpp
+++ b/Hallchute/src/Daemon/CallerRequest.cpp
@@ -28,14 +28,14 @@
 
 }  // namespace
 
-void sendWithoutDelay(Poco::Net::HTTPServerRequest& request) {
+void disableNagle(Poco::Net::HTTPServerRequest& request) {
   if (auto* impl = dynamic_cast<Poco::Net::HTTPServerRequestImpl*>(&request)) {
     impl->socket().setNoDelay(true);
   }
 }
 
-std::variant<Caller, Refusal> authorise(const Poco::Net::HTTPServerRequest& request,
-                                        const CallerServices& services) {
+std::variant<Caller, Refusal> authenticate(const Poco::Net::HTTPServerRequest& request,
+                                           const CallerServices& services) {
   const std::string value = request.get("Authorization", "");
   Caller caller;
   caller.settings = services.context.settings.get();
@@ -61,8 +61,9 @@
   return std::nullopt;
 }
 
-std::variant<const WorkClass*, Refusal> classOf(const Poco::Net::HTTPServerRequest& request,
-                                                const Caller& caller, const ServiceName& service) {
+std::variant<const WorkClass*, Refusal> selectWorkClass(const Poco::Net::HTTPServerRequest& request,
+                                                        const Caller& caller,
+                                                        const ServiceName& service) {
   const SettingsTree& tree = caller.settings->tree;
   const ClassName named(request.get("Hallchute-Class", ""));
   const ClassName& name = named.empty() ? tree.services.at(service).defaultClass : named;
@@ -95,7 +96,7 @@
   return body;
 }
 
-std::optional<Refusal> closedRefusal(const CallerServices& services) {
+std::optional<Refusal> drainingRefusal(const CallerServices& services) {
   if (!services.closed) return std::nullopt;
   return Refusal{RefusalReason::draining, "this host stops; another will answer",
                  RunOutcome::notRun, kDrainRetryAfter};
--- a/Hallchute/src/Daemon/CallerRequest.h
+++ b/Hallchute/src/Daemon/CallerRequest.h
@@ -31,12 +31,12 @@
 /// \brief Lets small pieces of the answer leave at once, instead of waiting for the caller's
 /// acknowledgement of the piece before.
 /// \ingroup Daemon
-void sendWithoutDelay(Poco::Net::HTTPServerRequest& request);
+void disableNagle(Poco::Net::HTTPServerRequest& request);
 
 /// \brief Checks the bearer token.
 /// \ingroup Daemon
-std::variant<Caller, Refusal> authorise(const Poco::Net::HTTPServerRequest& request,
-                                        const CallerServices& services);
+std::variant<Caller, Refusal> authenticate(const Poco::Net::HTTPServerRequest& request,
+                                           const CallerServices& services);
 
 /// \brief Checks that the service exists and the caller may use it.
 /// \ingroup Daemon
@@ -45,8 +45,9 @@
 
 /// \brief The class that the request names in `Hallchute-Class`, else the service's default.
 /// \ingroup Daemon
-std::variant<const WorkClass*, Refusal> classOf(const Poco::Net::HTTPServerRequest& request,
-                                                const Caller& caller, const ServiceName& service);
+std::variant<const WorkClass*, Refusal> selectWorkClass(const Poco::Net::HTTPServerRequest& request,
+                                                        const Caller& caller,
+                                                        const ServiceName& service);
 
 /// \brief Reads a body of at most \p most bytes.
 /// \ingroup Daemon
@@ -55,7 +56,7 @@
 
 /// \brief The refusal of a daemon that takes no new requests, if it is one.
 /// \ingroup Daemon
-std::optional<Refusal> closedRefusal(const CallerServices& services);
+std::optional<Refusal> drainingRefusal(const CallerServices& services);
 
 }  // namespace Hallchute
 
--- a/Hallchute/src/Daemon/CallerServices.h
+++ b/Hallchute/src/Daemon/CallerServices.h
@@ -10,7 +10,7 @@
 
 class JobRecords;
 class JobStarter;
-class OnceKeeper;
+class OnceRecordStore;
 class PeerJobs;
 struct TrafficContext;
 
@@ -21,7 +21,7 @@
   JobStarter& starter;
   JobRecords& records;
   PeerJobs& peers;
-  OnceKeeper& keeper;
+  OnceRecordStore& onceRecords;
   /// Set when the daemon begins to stop: the balancer is told to send callers elsewhere.
   std::atomic<bool> draining{false};
   /// Set a moment later: new requests are refused.
--- a/Hallchute/src/Daemon/CompletionHandler.cpp
+++ b/Hallchute/src/Daemon/CompletionHandler.cpp
@@ -47,7 +47,7 @@
 
 void CompletionHandler::handleRequest(Poco::Net::HTTPServerRequest& request,
                                       Poco::Net::HTTPServerResponse& response) {
-  sendWithoutDelay(request);
+  disableNagle(request);
   request_ = services_.context.daemon.str() + "-" + randomName();
   response.set("Hallchute-Request", request_);
   if (services_.draining) response.setKeepAlive(false);
@@ -60,8 +60,8 @@
 
 std::optional<Refusal> CompletionHandler::handle(Poco::Net::HTTPServerRequest& request,
                                                  Poco::Net::HTTPServerResponse& response) {
-  if (auto closed = closedRefusal(services_)) return closed;
-  const auto caller = authorise(request, services_);
+  if (auto closed = drainingRefusal(services_)) return closed;
+  const auto caller = authenticate(request, services_);
   if (const auto* refusal = std::get_if<Refusal>(&caller)) return *refusal;
   const auto wish = readWish(request, std::get<Caller>(caller));
   if (const auto* refusal = std::get_if<Refusal>(&wish)) return *refusal;
@@ -86,9 +86,9 @@
 std::optional<Refusal> CompletionHandler::serve(Poco::Net::HTTPServerRequest& request,
                                                 Poco::Net::HTTPServerResponse& response,
                                                 const Caller& caller, const CompletionBody& body) {
-  const auto workClass = classOf(request, caller, body.service);
+  const auto workClass = selectWorkClass(request, caller, body.service);
   if (const auto* refusal = std::get_if<Refusal>(&workClass)) return *refusal;
-  GenerationWish wish;
+  JobParameters wish;
   wish.workClass = std::get<const WorkClass*>(workClass);
   if (!wish.workClass->repeatable) {
     return Refusal{RefusalReason::badRequest,
@@ -128,7 +128,7 @@
   if (body.stream) {
     writer.stream(0);
   } else {
-    writer.whole();
+    writer.writeDocument();
   }
   return std::nullopt;
 }
--- a/Hallchute/src/Daemon/Control.cpp
+++ b/Hallchute/src/Daemon/Control.cpp
@@ -102,12 +102,12 @@
   loop_.post([this, announcement] { spreadLeave(announcement); });
 }
 
-bool Control::noteLeaveAndSpread(const LeaveAnnouncement& announcement, Millis limit) {
+bool Control::noteLeaveAndAwaitAck(const LeaveAnnouncement& announcement, Millis limit) {
   noteLeave(announcement);
   const Instant until = clockNow() + limit;
   for (;;) {
     bool spread = false;
-    loop_.call([&] { spread = gossip_.wasSpread(announcement.upstream); });
+    loop_.call([&] { spread = gossip_.isLeaveAcknowledged(announcement.upstream); });
     if (spread || clockNow() >= until) return spread;
     std::this_thread::sleep_for(kSpreadPoll);
   }
@@ -136,7 +136,7 @@
   std::map<UpstreamId, std::vector<JobPtr>> leaving;
   for (const JobPtr& job : jobs_.running()) {
     const UpstreamInfo* info = directory_.find(job->upstream());
-    if (info != nullptr && info->leavesAt && job->order() == JobOrder::none) {
+    if (info != nullptr && info->leavesAt && job->command() == JobCommand::none) {
       leaving[info->id].push_back(job);
     }
   }
@@ -151,23 +151,23 @@
         static_cast<double>(tree.policy(PolicyKey::transferTokensPerSecond, scope))};
     std::vector<RunningStream> streams;
     for (std::size_t i = 0; i < jobs.size(); ++i) {
-      streams.push_back(jobs[i]->streamFacts(now));
+      streams.push_back(jobs[i]->migrationInput(now));
       streams.back().stream = i;
     }
     for (const StreamMigration& planned : planMigrations(streams, window)) {
       if (std::holds_alternative<FinishInPlace>(planned.migration)) continue;
-      jobs[planned.stream]->orderMove(planned.migration);
+      jobs[planned.stream]->requestMove(planned.migration);
     }
   }
 }
 
-void Control::learnChange(const SettingsChange& change) {
+void Control::applyChange(const SettingsChange& change) {
   loop_.call([this, change] {
     if (changes_.add(change)) publishSettings();
   });
 }
 
-void Control::learnSnapshot(std::uint64_t revision, const JsonObject& json) {
+void Control::applySnapshot(std::uint64_t revision, const JsonObject& json) {
   loop_.call([this, revision, json] {
     if (changes_.startFrom(revision, json)) publishSettings();
   });
@@ -182,7 +182,7 @@
           "settings revision " + std::to_string(changes_.revision()) + " is in force");
 }
 
-void Control::learnHosts(const HostList& hosts) {
+void Control::updateHosts(const HostList& hosts) {
   loop_.call([this, hosts] { applyHosts(hosts); });
 }
 
@@ -214,7 +214,7 @@
     view.others = membership_.others();
     view.upstreams = directory_.all();
     view.shards = owners_.loads(clockNow());
-    view.grantsHeld = broker_.held();
+    view.grantsHeld = broker_.activeCount();
     view.peerBytesSent = transport_.bytesSent();
     view.peerBytesReceived = transport_.bytesReceived();
   });
@@ -227,7 +227,7 @@
   return lives;
 }
 
-bool Control::hasDuty(std::string_view duty, std::size_t first) {
+bool Control::isResponsibleFor(std::string_view duty, std::size_t first) {
   bool has = false;
   loop_.call([&] {
     const MemberStatus& self = membership_.self();
--- a/Hallchute/src/Daemon/Control.h
+++ b/Hallchute/src/Daemon/Control.h
@@ -61,16 +61,16 @@
   void noteLeave(const LeaveAnnouncement& announcement);
   /// \brief As noteLeave(), and waits until a peer has it too, at most \p limit.
   /// \returns whether one has.
-  bool noteLeaveAndSpread(const LeaveAnnouncement& announcement, Millis limit);
-  void learnChange(const SettingsChange& change);
-  void learnSnapshot(std::uint64_t revision, const JsonObject& json);
-  void learnHosts(const HostList& hosts);
+  bool noteLeaveAndAwaitAck(const LeaveAnnouncement& announcement, Millis limit);
+  void applyChange(const SettingsChange& change);
+  void applySnapshot(std::uint64_t revision, const JsonObject& json);
+  void updateHosts(const HostList& hosts);
   /// \brief This daemon stops: it owns nothing any more and says so.
   void beginLeaving();
   ControlView view();
   bool mayBeAlive(const DaemonId& id);
   /// \brief Whether this daemon is one of the \p first ranked of its domain for \p duty.
-  bool hasDuty(std::string_view duty, std::size_t first);
+  bool isResponsibleFor(std::string_view duty, std::size_t first);
   std::uint64_t revision();
 
   /// \brief The loop, for services that answer peers.
--- a/Hallchute/src/Daemon/Daemon.cpp
+++ b/Hallchute/src/Daemon/Daemon.cpp
@@ -27,7 +27,7 @@
 Daemon::Daemon(StartupFile startup)
     : startup_(std::move(startup)),
       platformHttp_(startup_.platformAddress, startup_.platformToken, startup_.ownIp(),
-                    startup_.platformLimit),
+                    startup_.platformTimeout),
       platform_(platformHttp_),
       control_(startup_, settings_, jobs_, metrics_),
       context_{startup_.daemon,
@@ -47,9 +47,9 @@
       starter_(context_, records_),
       peers_(control_, context_, starter_, records_),
       services_{context_, starter_, records_, peers_, keeper_},
-      callers_(services_, startup_.callerListen, startup_.maxCallers),
+      callers_(services_, startup_.callerListen, startup_.maxCallerConnections),
       editor_(platform_, settings_,
-              [this](const SettingsChange& change) { control_.learnChange(change); }),
+              [this](const SettingsChange& change) { control_.applyChange(change); }),
       follower_(platform_, editor_, control_, health_, metrics_),
       operatorServices_(operatorServices()),
       operators_(operatorServices_, startup_.operatorListen) {
@@ -103,7 +103,7 @@
     limit = *stopLimit_;
   }
   Drain(services_, control_, callers_).run(limit, hurry_);
-  for (const JobPtr& job : jobs_.running()) job->orderCancel();
+  for (const JobPtr& job : jobs_.running()) job->requestCancel();
   starter_.waitIdle(limit + kReclaimMargin);
   keeping_ = false;
   keeperThread_.join();
@@ -124,7 +124,7 @@
     if (membersChanged_.exchange(false)) adoptUntil = now + kAdoptAfterChange;
     if (!services_.draining && (now < adoptUntil || now >= nextAdopt)) {
       nextAdopt = now + kAdoptPeriod;
-      if (control_.hasDuty("adopt", kAdopters)) adoptOrphans();
+      if (control_.isResponsibleFor("adopt", kAdopters)) adoptOrphans();
     }
     std::this_thread::sleep_for(kKeepPeriod);
   }
--- a/Hallchute/src/Daemon/GrantBroker.cpp
+++ b/Hallchute/src/Daemon/GrantBroker.cpp
@@ -53,7 +53,7 @@
 struct GrantBroker::Active {
   std::uint64_t key = 0;
   ShardKey shard;
-  GrantHeld held;
+  ExistingGrant held;
   /// The owner it is counted at; empty stream and owner self: counted here.
   DaemonId owner;
   PeerStreamPtr stream;
@@ -128,7 +128,7 @@
   const std::vector<DaemonId> ranked = rankOwners(shard.text(), membership_.owners(shard.domain));
   if (wish->ownersAsked >= std::min(kOwnersAsked, ranked.size())) {
     if (home) {
-      shard.index = ShardOwners::kAlone;
+      shard.index = ShardOwners::kFallbackIndex;
       metrics_.add("hallchute_grants_alone_total", "");
       askLocal(wish, shard);
       return;
@@ -150,7 +150,7 @@
   wish->current = shard;
   wish->localId = owners_.newId();
   wish->acknowledged = true;
-  GrantWanted wanted = wish->spec.wanted;
+  GrantRequest wanted = wish->spec.wanted;
   wanted.id = wish->localId;
   const auto sink = [this, wish](const GrantAction& action) {
     std::visit(Overloaded{[&](const Granted& g) { grant(wish, g.upstream); }, [](const Queued&) {},
@@ -160,7 +160,7 @@
                           }},
                action);
   };
-  owners_.want(shard, std::move(wanted), sink, clockNow());
+  owners_.requestGrant(shard, std::move(wanted), sink, clockNow());
 }
 
 void GrantBroker::askPeer(const WishPtr& wish, const ShardKey& shard, const std::string& address) {
@@ -259,7 +259,7 @@
                          RunOutcome::notRun, kNoUpstreamRetryAfter});
     return;
   }
-  auto hold = std::make_unique<GrantHold>(
+  auto hold = std::make_unique<ScopedGrant>(
       upstream, info->host.address,
       [this, key = active->key] { loop_.post([this, key] { noteFirstToken(key); }); },
       [this, key = active->key](GrantEnd end) {
@@ -290,9 +290,9 @@
 }
 
 void GrantBroker::onOwnersChanged() {
-  owners_.setSharers(membership_.owners(membership_.self().domain).size());
+  owners_.setDaemonCount(membership_.owners(membership_.self().domain).size());
   for (const auto& [key, active] : active_) {
-    if (active->shard.index == ShardOwners::kAlone) continue;
+    if (active->shard.index == ShardOwners::kFallbackIndex) continue;
     const auto owner = ownerOf(active->shard);
     if (!owner || *owner == active->owner) continue;
     if (active->localId != 0) {
@@ -313,7 +313,7 @@
   active->owner = *owner;
   if (*owner == membership_.self().id) {
     active->localId = owners_.newId();
-    GrantHeld held = active->held;
+    ExistingGrant held = active->held;
     held.id = active->localId;
     owners_.hold(active->shard, held, clockNow());
     return;
@@ -354,7 +354,7 @@
     }
     served->shard = request->shard;
     served->id = owners_.newId();
-    GrantWanted wanted = request->wanted;
+    GrantRequest wanted = request->wanted;
     wanted.id = served->id;
     wanted.deadline = clockNow() + request->remaining;
     const auto sink = [weak](const GrantAction& action) {
@@ -373,7 +373,7 @@
                  action);
       to->send(pack(reply));
     };
-    owners_.want(served->shard, std::move(wanted), sink, clockNow());
+    owners_.requestGrant(served->shard, std::move(wanted), sink, clockNow());
   };
 }
 
--- a/Hallchute/src/Daemon/GrantSpec.h
+++ b/Hallchute/src/Daemon/GrantSpec.h
@@ -11,7 +11,7 @@
 #include <variant>
 #include <vector>
 
-#include "Hallchute/src/Admission/GrantWanted.h"
+#include "Hallchute/src/Admission/GrantRequest.h"
 #include "Hallchute/src/Core/Refusal.h"
 
 namespace Hallchute {
@@ -21,20 +21,20 @@
 struct GrantSpec {
   ServiceName service;
   /// Its id is set by the broker.
-  GrantWanted wanted;
+  GrantRequest wanted;
 };
 
 /// \brief A place at an upstream, given back when it goes out of scope. Any thread.
 /// \ingroup Daemon
-class GrantHold {
+class ScopedGrant {
  public:
   using Release = std::function<void(GrantEnd)>;
   using Started = std::function<void()>;
 
-  GrantHold(UpstreamId upstream, std::string address, Started started, Release release);
-  ~GrantHold();
-  GrantHold(const GrantHold&) = delete;
-  GrantHold& operator=(const GrantHold&) = delete;
+  ScopedGrant(UpstreamId upstream, std::string address, Started started, Release release);
+  ~ScopedGrant();
+  ScopedGrant(const ScopedGrant&) = delete;
+  ScopedGrant& operator=(const ScopedGrant&) = delete;
 
   const UpstreamId& upstream() const { return upstream_; }
   const std::string& address() const { return address_; }
@@ -51,7 +51,7 @@
 };
 
 /// \ingroup Daemon
-using GrantOutcome = std::variant<std::unique_ptr<GrantHold>, Refusal>;
+using GrantOutcome = std::variant<std::unique_ptr<ScopedGrant>, Refusal>;
 
 }  // namespace Hallchute
 
--- a/Hallchute/src/Daemon/OperatorHandler.cpp
+++ b/Hallchute/src/Daemon/OperatorHandler.cpp
@@ -212,7 +212,7 @@
   const Millis left(
       std::strtoll(query(uri, "inMs", std::to_string(kDefaultLeaveMs)).c_str(), nullptr, 10));
   const LeaveAnnouncement announcement{UpstreamId(upstream), left, LeaveSource::operatorRequest};
-  const bool spread = services_.control.noteLeaveAndSpread(announcement, kSpreadLimit);
+  const bool spread = services_.control.noteLeaveAndAwaitAck(announcement, kSpreadLimit);
   return {202, "application/json",
           messageJson(upstream + " is leaving" +
                       (spread ? "" : "; no other daemon has acknowledged it yet"))};
--- a/Hallchute/src/Daemon/PlainHandler.cpp
+++ b/Hallchute/src/Daemon/PlainHandler.cpp
@@ -47,7 +47,7 @@
 void PlainHandler::handleRequest(Poco::Net::HTTPServerRequest& request,
                                  Poco::Net::HTTPServerResponse& response) {
   const Counted counted(services_.plainCalls);
-  sendWithoutDelay(request);
+  disableNagle(request);
   request_ = services_.context.daemon.str() + "-" + randomName();
   const LogContext context("request", request_);
   response.set("Hallchute-Request", request_);
@@ -61,12 +61,12 @@
 
 std::optional<Refusal> PlainHandler::handle(Poco::Net::HTTPServerRequest& request,
                                             Poco::Net::HTTPServerResponse& response) {
-  if (auto closed = closedRefusal(services_)) return closed;
-  const auto found = authorise(request, services_);
+  if (auto closed = drainingRefusal(services_)) return closed;
+  const auto found = authenticate(request, services_);
   if (const auto* refusal = std::get_if<Refusal>(&found)) return *refusal;
   const Caller& caller = std::get<Caller>(found);
   if (auto refusal = checkService(caller, service_, ServiceKind::plain)) return refusal;
-  const auto workClass = classOf(request, caller, service_);
+  const auto workClass = selectWorkClass(request, caller, service_);
   if (const auto* refusal = std::get_if<Refusal>(&workClass)) return *refusal;
   const PolicyScope scope{services_.context.domain, service_, caller.organisation->name};
   const auto maxBody =
@@ -105,7 +105,7 @@
   job.call.headers.emplace_back("Hallchute-Request", request_);
   job.deadline = clockNow() + Millis(tree.policy(PolicyKey::requestLimitMs, scope));
   job.queueLimit = Millis(tree.policy(PolicyKey::queueLimitMs, scope));
-  const PlainOutcome outcome = PlainRunner(services_.context, services_.keeper, job).run();
+  const PlainOutcome outcome = PlainRunner(services_.context, services_.onceRecords, job).run();
   if (const auto* refusal = std::get_if<Refusal>(&outcome)) return *refusal;
   sendAnswer(response, std::get<PlainAnswer>(outcome));
   return std::nullopt;
--- a/Hallchute/src/Daemon/PlatformFollower.cpp
+++ b/Hallchute/src/Daemon/PlatformFollower.cpp
@@ -57,7 +57,7 @@
 }
 
 bool PlatformFollower::onDuty() {
-  return control_.hasDuty("watch", kWatchers);
+  return control_.isResponsibleFor("watch", kWatchers);
 }
 
 void PlatformFollower::count(std::string_view kind) {
@@ -65,7 +65,7 @@
 }
 
 bool PlatformFollower::note(bool answered) {
-  if (answered) health_.noteAnswer(clockNow());
+  if (answered) health_.recordAnswer(clockNow());
   return answered;
 }
 
@@ -96,7 +96,7 @@
     for (const StoredObject& object : done->value.objects) {
       Findings findings;
       const SettingsChange change = parseChange(object.value, findings);
-      if (change.number != 0) control_.learnChange(change);
+      if (change.number != 0) control_.applyChange(change);
     }
     if (!done->value.objects.empty()) loadSettings();
   }
@@ -110,7 +110,7 @@
   Findings findings;
   const JsonObject json = parseJsonObject(done->value.value, findings);
   if (!json || !json->getObject("settings")) return;
-  control_.learnSnapshot(json->optValue<std::uint64_t>("revision", 0), json->getObject("settings"));
+  control_.applySnapshot(json->optValue<std::uint64_t>("revision", 0), json->getObject("settings"));
 }
 
 bool PlatformFollower::loadSettings() {
@@ -121,7 +121,7 @@
     const auto reply = editor_.history(before, kPage);
     const auto* done = std::get_if<Done<std::vector<SettingsChange>>>(&reply);
     if (!note(done != nullptr)) return false;
-    for (const SettingsChange& change : done->value) control_.learnChange(change);
+    for (const SettingsChange& change : done->value) control_.applyChange(change);
     if (done->value.size() < kPage || control_.revision() == before) return true;
   }
 }
@@ -173,7 +173,7 @@
       const auto reply = platform_.hosts();
       const auto* done = std::get_if<Done<HostList>>(&reply);
       answered = note(done != nullptr);
-      if (answered) control_.learnHosts(done->value);
+      if (answered) control_.updateHosts(done->value);
       sinceAsked = answered ? Millis(0) : kOffDutyHostsPeriod;
     }
     const Millis period = answered ? kHostsPeriod : kRetryPause;
--- a/Hallchute/src/Daemon/RequestHandler.cpp
+++ b/Hallchute/src/Daemon/RequestHandler.cpp
@@ -32,20 +32,20 @@
 
 void RequestHandler::handleRequest(Poco::Net::HTTPServerRequest& request,
                                    Poco::Net::HTTPServerResponse& response) {
-  sendWithoutDelay(request);
+  disableNagle(request);
   response.set("Hallchute-Request", id_.str());
   if (const auto refusal = handle(request, response)) sendProblem(response, *refusal, id_.str());
 }
 
 std::optional<Refusal> RequestHandler::handle(const Poco::Net::HTTPServerRequest& request,
                                               Poco::Net::HTTPServerResponse& response) {
-  const auto caller = authorise(request, services_);
+  const auto caller = authenticate(request, services_);
   if (const auto* refusal = std::get_if<Refusal>(&caller)) return *refusal;
   const Found found = find(std::get<Caller>(caller).organisation->name);
   if (const auto* refusal = std::get_if<Refusal>(&found)) return *refusal;
   const JobPtr& job = std::get<JobPtr>(found);
   if (request.getMethod() == Poco::Net::HTTPRequest::HTTP_DELETE) {
-    job->orderCancel();
+    job->requestCancel();
     response.setStatusAndReason(Poco::Net::HTTPResponse::HTTP_ACCEPTED);
     response.setContentLength(0);
     response.send();
@@ -57,7 +57,7 @@
   if (streamed || request.has("Last-Event-ID")) {
     writer.stream(std::strtoull(request.get("Last-Event-ID", "0").c_str(), nullptr, 10));
   } else {
-    writer.whole();
+    writer.writeDocument();
   }
   job->detach(clockNow());
   return std::nullopt;
--- a/Hallchute/src/Daemon/ShardOwners.cpp
+++ b/Hallchute/src/Daemon/ShardOwners.cpp
@@ -41,7 +41,7 @@
   policy.aging = Millis(number(PolicyKey::agingMs));
   policy.choice =
       PrefixAffinity{static_cast<double>(number(PolicyKey::loadBoundPercent)) / kPercent};
-  if (shard.index == kAlone) {
+  if (shard.index == kFallbackIndex) {
     policy.maxInFlightPerUpstream = std::max<std::size_t>(
         1, policy.maxInFlightPerUpstream / std::max<std::size_t>(1, sharers_));
   }
@@ -50,7 +50,7 @@
 
 std::vector<UpstreamId> ShardOwners::upstreamsOf(const ShardKey& shard) const {
   std::vector<UpstreamId> live = directory_.live(shard.service, shard.domain);
-  if (shard.index == kAlone) return live;
+  if (shard.index == kFallbackIndex) return live;
   const std::uint32_t count = shardCount(live.size());
   std::erase_if(live, [&](const UpstreamId& id) { return shardOf(id, count) != shard.index; });
   return live;
@@ -65,12 +65,12 @@
   return *owner;
 }
 
-void ShardOwners::want(const ShardKey& shard, GrantWanted wanted, Sink sink, Instant now) {
+void ShardOwners::requestGrant(const ShardKey& shard, GrantRequest wanted, Sink sink, Instant now) {
   sinks_[wanted.id] = std::move(sink);
-  dispatch(ownerOf(shard, now).want(std::move(wanted), now));
+  dispatch(ownerOf(shard, now).requestGrant(std::move(wanted), now));
 }
 
-void ShardOwners::hold(const ShardKey& shard, const GrantHeld& held, Instant now) {
+void ShardOwners::hold(const ShardKey& shard, const ExistingGrant& held, Instant now) {
   ownerOf(shard, now).hold(held);
 }
 
--- a/Hallchute/src/Daemon/ShardOwners.h
+++ b/Hallchute/src/Daemon/ShardOwners.h
@@ -28,7 +28,7 @@
 
   /// \brief The index of the shard of all upstreams of a domain on which a daemon decides alone
   /// while no owner answers.
-  static constexpr std::uint32_t kAlone = UINT32_MAX;
+  static constexpr std::uint32_t kFallbackIndex = UINT32_MAX;
 
   ShardOwners(const SettingsStore& settings, const UpstreamDirectory& directory);
   ~ShardOwners();
@@ -37,15 +37,15 @@
 
   GrantId newId() { return nextId_++; }
   /// \brief Asks for a place; \p sink is told each action until release().
-  void want(const ShardKey& shard, GrantWanted wanted, Sink sink, Instant now);
-  void hold(const ShardKey& shard, const GrantHeld& held, Instant now);
+  void requestGrant(const ShardKey& shard, GrantRequest wanted, Sink sink, Instant now);
+  void hold(const ShardKey& shard, const ExistingGrant& held, Instant now);
   void release(const ShardKey& shard, GrantId id, GrantEnd end, Instant now);
   void noteFirstToken(const ShardKey& shard, GrantId id, Instant now);
   /// \brief The upstreams or the settings have changed.
   void refresh(Instant now);
   void tick(Instant now);
   /// \brief Daemons that share a domain's upstreams, for the share of one that decides alone.
-  void setSharers(std::size_t sharers) { sharers_ = sharers; }
+  void setDaemonCount(std::size_t sharers) { sharers_ = sharers; }
 
   struct Load {
     ShardKey shard;
--- a/Hallchute/src/Duty/DutyRecord.h
+++ b/Hallchute/src/Duty/DutyRecord.h
@@ -18,15 +18,15 @@
   /// Its epoch is the fencing token of every call.
   DutyHolder holder;
   /// Counts of windows that may have been sent: nobody ever sends others for them.
-  UsageByWindow fixed;
+  UsageByWindow finalUsage;
   /// The last window whose report was acknowledged, and all before it; 0 if none was.
   std::int64_t sentThrough = 0;
   /// Counts of windows that are not fixed yet, as the holder knew them when it wrote last: all that
   /// is left of them if every daemon ends.
-  UsageByWindow counted{};
+  UsageByWindow openUsage{};
   /// The part of `counted` that is known from the record alone, as all daemons that counted it have
   /// ended.
-  UsageByWindow orphaned{};
+  UsageByWindow orphanedUsage{};
   /// Daemons that its writer knew when it wrote counts last: those that start later learn from it
   /// how many share the quotas. 0 if none did yet.
   std::size_t daemons = 0;
--- a/Hallchute/src/Duty/DutyKeeper.cpp
+++ b/Hallchute/src/Duty/DutyStateMachine.cpp
@@ -1,7 +1,7 @@
 // This file is part of hallchute, a serving system for language models.
 // SPDX-License-Identifier: Apache-2.0
 
-#include "Hallchute/src/Duty/DutyKeeper.h"
+#include "Hallchute/src/Duty/DutyStateMachine.h"
 
 #include <algorithm>
 #include <utility>
@@ -34,97 +34,100 @@
 
 }  // namespace
 
-DutyKeeper::DutyKeeper(DutyPolicy policy, DaemonId self, std::uint64_t incarnation)
+DutyStateMachine::DutyStateMachine(DutyPolicy policy, DaemonId self, std::uint64_t incarnation)
     : policy_(policy), self_{std::move(self), incarnation, 0} {}
 
-DutyHolder DutyKeeper::holder() const {
+DutyHolder DutyStateMachine::holder() const {
   DutyHolder holder = known_ ? known_->record.holder : DutyHolder{};
-  if (resigned_) holder.learn(*resigned_);
+  if (resigned_) holder.mergeNewer(*resigned_);
   return holder;
 }
 
-bool DutyKeeper::renewedWithin(Millis time, Instant now) const {
+bool DutyStateMachine::renewedWithin(Millis time, Instant now) const {
   return holds_ && now - renewed_ <= time;
 }
 
-DutyStep DutyKeeper::renewal() const {
+DutyStep DutyStateMachine::renewal() const {
   return DutySteps::Write{known_->record, known_->revision};
 }
 
-DutyStep DutyKeeper::release(const DutyFacts& facts) const {
+DutyStep DutyStateMachine::release(const DutyFacts& facts) const {
   DutyRecord record = known_->record;
-  record.counted = unfixed(facts, record);
+  record.openUsage = unfixed(facts, record);
   record.holder = DutyHolder{{}, 0, record.holder.epoch};
   return DutySteps::Write{std::move(record), known_->revision};
 }
 
-void DutyKeeper::stepDown() {
+void DutyStateMachine::stepDown() {
   holds_ = false;
   known_.reset();
   pending_.reset();
   sending_.reset();
 }
 
-bool DutyKeeper::isFirst(const DutyFacts& facts) const {
+bool DutyStateMachine::isFirst(const DutyFacts& facts) const {
   auto first = facts.heard.begin();
-  const bool resigned = facts.named.resigned && facts.heard.size() > 1;
-  if (resigned && first->first == facts.named.daemon) ++first;
+  const bool resigned = facts.reportedHolder.resigned && facts.heard.size() > 1;
+  if (resigned && first->first == facts.reportedHolder.daemon) ++first;
   return first != facts.heard.end() && first->first == self_.daemon;
 }
 
-bool DutyKeeper::isNamed(const DutyFacts& facts) const {
-  return facts.named.daemon == self_.daemon && facts.named.incarnation == self_.incarnation;
+bool DutyStateMachine::isNamed(const DutyFacts& facts) const {
+  return facts.reportedHolder.daemon == self_.daemon &&
+         facts.reportedHolder.incarnation == self_.incarnation;
 }
 
-bool DutyKeeper::isHeldElsewhere(const DutyFacts& facts) const {
-  const DutyHolder& named = facts.named;
-  if (named.epoch == 0 || named.resigned || named.daemon == self_.daemon) return false;
-  const auto heard = facts.heard.find(named.daemon);
-  return heard != facts.heard.end() && heard->second == named.incarnation;
+bool DutyStateMachine::isHeldElsewhere(const DutyFacts& facts) const {
+  const DutyHolder& reportedHolder = facts.reportedHolder;
+  if (reportedHolder.epoch == 0 || reportedHolder.resigned || reportedHolder.daemon == self_.daemon)
+    return false;
+  const auto heard = facts.heard.find(reportedHolder.daemon);
+  return heard != facts.heard.end() && heard->second == reportedHolder.incarnation;
 }
 
-bool DutyKeeper::resignsNow(const DutyFacts& facts, Instant now) const {
-  if (!isNamed(facts) || facts.named.resigned || !unansweredSince_) return false;
+bool DutyStateMachine::resignsNow(const DutyFacts& facts, Instant now) const {
+  if (!isNamed(facts) || facts.reportedHolder.resigned || !unansweredSince_) return false;
   return now - *unansweredSince_ >= policy_.lease && facts.storeAge <= kStoreAnswers;
 }
 
-void DutyKeeper::resign(const DutyHolder& holder) {
+void DutyStateMachine::resign(const DutyHolder& holder) {
   stepDown();
   resigned_ = holder;
   resigned_->resigned = true;
 }
 
-bool DutyKeeper::mayTake(const DutyFacts& facts, Instant now) const {
+bool DutyStateMachine::mayTake(const DutyFacts& facts, Instant now) const {
   const DutyHolder& holder = known_->record.holder;
   if (holder.daemon.empty()) return true;
   const auto heard = facts.heard.find(holder.daemon);
   // A later incarnation means that the one that held them is no more.
   if (heard != facts.heard.end()) {
-    const bool resigned = facts.named.resigned && facts.named.epoch == holder.epoch;
+    const bool resigned =
+        facts.reportedHolder.resigned && facts.reportedHolder.epoch == holder.epoch;
     return resigned || heard->second != holder.incarnation;
   }
   return now - seenSince_ >= policy_.lease + kLeaseMargin;
 }
 
-DutyRecord DutyKeeper::taken(const DutyRecord& before) {
-  inherited_ = before.counted;
+DutyRecord DutyStateMachine::taken(const DutyRecord& before) {
+  inherited_ = before.openUsage;
   DutyRecord record = before;
   record.holder = self_;
   record.holder.epoch = before.holder.epoch + 1;
   // Nobody is left who counted them: they add to what is counted from now on.
-  if (allAreNew_) record.orphaned = record.counted;
+  if (allAreNew_) record.orphanedUsage = record.openUsage;
   return record;
 }
 
-DutyStep DutyKeeper::next(const DutyFacts& facts, Instant now) {
+DutyStep DutyStateMachine::next(const DutyFacts& facts, Instant now) {
   if (now < retryAt_) return DutySteps::Nothing{};
-  if (resignsNow(facts, now)) resign(facts.named);
-  if (holds_ && facts.named.epoch > holder().epoch) stepDown();
+  if (resignsNow(facts, now)) resign(facts.reportedHolder);
+  if (holds_ && facts.reportedHolder.epoch > holder().epoch) stepDown();
   return holds_ ? nextAsHolder(facts, now) : nextAsOther(facts, now);
 }
 
-DutyStep DutyKeeper::nextAsOther(const DutyFacts& facts, Instant now) {
-  if (!facts.met) return DutySteps::Nothing{};
+DutyStep DutyStateMachine::nextAsOther(const DutyFacts& facts, Instant now) {
+  if (!facts.fleetDiscovered) return DutySteps::Nothing{};
   // A holder that no longer knows whether it holds is waited for by all others.
   if (!isFirst(facts) && !isNamed(facts)) {
     // What was read may change unseen while another daemon is first.
@@ -142,7 +145,7 @@
   }
   if (!known_) {
     // Whoever runs since before the last holder's end names it.
-    allAreNew_ = facts.named.epoch == 0 && facts.heard.size() >= facts.known;
+    allAreNew_ = facts.reportedHolder.epoch == 0 && facts.heard.size() >= facts.known;
     return DutySteps::Read{};
   }
   if (!mayTake(facts, now)) {
@@ -153,69 +156,69 @@
   return DutySteps::Write{*pending_, known_->revision};
 }
 
-std::int64_t DutyKeeper::firstWindow(const DutyFacts& facts) const {
+std::int64_t DutyStateMachine::firstWindow(const DutyFacts& facts) const {
   const std::int64_t oldest = (facts.wallClock - policy_.due - policy_.window) / policy_.window;
   const DutyRecord& record = known_->record;
   std::int64_t first = std::max(oldest, record.sentThrough + 1);
   if (record.sentThrough > 0) return first;
   // Nothing was reported yet: windows before the deployment's first requests are left out.
-  const UsageByWindow counted = this->counted(facts);
-  const UsageByWindow& earliest = record.fixed.empty() ? counted : record.fixed;
+  const UsageByWindow openUsage = this->openUsage(facts);
+  const UsageByWindow& earliest = record.finalUsage.empty() ? openUsage : record.finalUsage;
   return earliest.empty() ? first : std::max(first, earliest.begin()->first);
 }
 
 /// Counts of all windows that are not fixed, by the daemons' reports and by what the record held
 /// when this daemon took the duties.
-UsageByWindow DutyKeeper::counted(const DutyFacts& facts) const {
+UsageByWindow DutyStateMachine::openUsage(const DutyFacts& facts) const {
   const DutyRecord& record = known_->record;
-  UsageByWindow counted = record.orphaned;
-  addUsage(counted, facts.usage);
-  raiseUsage(counted, inherited_);
-  std::erase_if(counted, [&](const auto& entry) {
-    return entry.first <= record.sentThrough || record.fixed.contains(entry.first);
+  UsageByWindow openUsage = record.orphanedUsage;
+  addUsage(openUsage, facts.usage);
+  raiseUsage(openUsage, inherited_);
+  std::erase_if(openUsage, [&](const auto& entry) {
+    return entry.first <= record.sentThrough || record.finalUsage.contains(entry.first);
   });
-  return counted;
+  return openUsage;
 }
 
 /// How long after its end a window's counts are taken. Counts without daemons that run and are not
 /// heard are certain to be wrong; that this daemon ends in the time left to them is not.
-Millis DutyKeeper::settleTime(const DutyFacts& facts) const {
+Millis DutyStateMachine::settleTime(const DutyFacts& facts) const {
   const bool complete = facts.usageComplete && facts.heard.size() >= facts.known;
   return complete ? kSettle : std::max(kSettle, policy_.due - kReportTime);
 }
 
 /// What a record holds of windows that it doesn't hold as fixed.
-UsageByWindow DutyKeeper::unfixed(const DutyFacts& facts, const DutyRecord& record) const {
-  UsageByWindow counted = this->counted(facts);
+UsageByWindow DutyStateMachine::unfixed(const DutyFacts& facts, const DutyRecord& record) const {
+  UsageByWindow openUsage = this->openUsage(facts);
   const std::int64_t first = firstWindow(facts);
-  std::erase_if(counted, [&](const auto& entry) {
-    return record.fixed.contains(entry.first) || entry.first < first;
+  std::erase_if(openUsage, [&](const auto& entry) {
+    return record.finalUsage.contains(entry.first) || entry.first < first;
   });
-  return counted;
+  return openUsage;
 }
 
 /// Adds the counts of windows that ended long enough ago. \returns whether there were any.
-bool DutyKeeper::fixWindows(const DutyFacts& facts, DutyRecord& record) const {
-  const UsageByWindow counted = this->counted(facts);
-  if (record.sentThrough == 0 && counted.empty()) return false;
+bool DutyStateMachine::fixWindows(const DutyFacts& facts, DutyRecord& record) const {
+  const UsageByWindow openUsage = this->openUsage(facts);
+  if (record.sentThrough == 0 && openUsage.empty()) return false;
   const std::int64_t last = (facts.wallClock - settleTime(facts)) / policy_.window - 1;
   bool added = false;
   for (std::int64_t window = firstWindow(facts); window <= last; ++window) {
-    if (record.fixed.contains(window)) continue;
-    const auto counts = counted.find(window);
-    record.fixed[window] = counts == counted.end() ? UsageCounts{} : counts->second;
-    record.orphaned.erase(window);
+    if (record.finalUsage.contains(window)) continue;
+    const auto counts = openUsage.find(window);
+    record.finalUsage[window] = counts == openUsage.end() ? UsageCounts{} : counts->second;
+    record.orphanedUsage.erase(window);
     added = true;
   }
-  record.fixed.erase(record.fixed.begin(),
-                     record.fixed.lower_bound(record.sentThrough - kFixedKept));
+  record.finalUsage.erase(record.finalUsage.begin(),
+                          record.finalUsage.lower_bound(record.sentThrough - kFixedKept));
   return added;
 }
 
-DutyStep DutyKeeper::nextAsHolder(const DutyFacts& facts, Instant now) {
+DutyStep DutyStateMachine::nextAsHolder(const DutyFacts& facts, Instant now) {
   const DutyRecord& record = known_->record;
   const std::int64_t first = firstWindow(facts);
-  for (const auto& [window, counts] : record.fixed) {
+  for (const auto& [window, counts] : record.finalUsage) {
     if (window < first) continue;
     sending_ = window;
     return DutySteps::SendUsage{record.holder.epoch, window, counts};
@@ -223,8 +226,8 @@
   DutyRecord more = record;
   const bool fixes = fixWindows(facts, more);
   if (!fixes && now - checkpointed_ < kCheckpointEvery) return DutySteps::Nothing{};
-  more.counted = unfixed(facts, more);
-  if (!fixes && more.counted == record.counted) return DutySteps::Nothing{};
+  more.openUsage = unfixed(facts, more);
+  if (!fixes && more.openUsage == record.openUsage) return DutySteps::Nothing{};
   // A holder that has just started may know of few.
   const bool settled = now - taken_ >= policy_.lease;
   more.daemons = settled ? facts.known : std::max(record.daemons, facts.known);
@@ -233,7 +236,7 @@
   return DutySteps::Write{*pending_, known_->revision};
 }
 
-void DutyKeeper::noteRead(const StoredDutyRecord& stored, Instant now) {
+void DutyStateMachine::noteRead(const StoredDutyRecord& stored, Instant now) {
   absent_ = false;
   unansweredSince_.reset();
   readAt_ = now;
@@ -247,7 +250,7 @@
   if (holds_) renewed_ = now;
 }
 
-void DutyKeeper::noteOutcome(DutyOutcome outcome, std::uint64_t revision, Instant now) {
+void DutyStateMachine::noteOutcome(DutyOutcome outcome, std::uint64_t revision, Instant now) {
   const std::optional<DutyRecord> pending = std::exchange(pending_, std::nullopt);
   const std::optional<std::int64_t> sending = std::exchange(sending_, std::nullopt);
   const bool answered = outcome != DutyOutcome::unavailable && outcome != DutyOutcome::unknown;
--- a/Hallchute/src/Duty/DutyKeeper.h
+++ b/Hallchute/src/Duty/DutyStateMachine.h
@@ -1,8 +1,8 @@
 // This file is part of hallchute, a serving system for language models.
 // SPDX-License-Identifier: Apache-2.0
 
-#ifndef HALLCHUTE_DUTY_DUTYKEEPER_H
-#define HALLCHUTE_DUTY_DUTYKEEPER_H
+#ifndef HALLCHUTE_DUTY_DUTYSTATEMACHINE_H
+#define HALLCHUTE_DUTY_DUTYSTATEMACHINE_H
 
 #include <map>
 #include <optional>
@@ -27,14 +27,14 @@
   /// Daemons heard of lately with their incarnations, this one included unless it is leaving.
   std::map<DaemonId, std::uint64_t> heard;
   /// The holder with the highest epoch that any report names.
-  DutyHolder named;
+  DutyHolder reportedHolder;
   /// How long ago the store last answered anybody that is heard.
   Millis storeAge{0};
   /// Daemons that are likely to run, heard or not, this one included.
   std::size_t known = 1;
   /// Whether this daemon has had the time to meet the others. Before, it takes itself for the first
   /// of all and knows nothing of what they counted.
-  bool met = true;
+  bool fleetDiscovered = true;
   /// Whether all daemons that are likely to run have told what they counted and what they know of
   /// those that ended.
   bool usageComplete = true;
@@ -54,9 +54,9 @@
 /// complete are fixed as late as leaves time to report them. What is counted of windows under way
 /// goes into the record about once a second, for the case that all daemons end at once. A holder
 /// that the store turns away while it answers others resigns, and one that it answers takes over.
-class DutyKeeper {
+class DutyStateMachine {
  public:
-  DutyKeeper(DutyPolicy policy, DaemonId self, std::uint64_t incarnation);
+  DutyStateMachine(DutyPolicy policy, DaemonId self, std::uint64_t incarnation);
 
   DutyStep next(const DutyFacts& facts, Instant now);
   void noteRead(const StoredDutyRecord& stored, Instant now);
@@ -65,7 +65,7 @@
   /// \brief A call was refused as another daemon had used a higher epoch.
   void stepDown();
 
-  bool holds() const { return holds_; }
+  bool holdsDuties() const { return holds_; }
   /// \brief Whether the record was written so lately that acting needs no renewal.
   bool renewedWithin(Millis time, Instant now) const;
   /// \brief The write that renews the holder's record, before it acts on something else.
@@ -87,7 +87,7 @@
   DutyStep nextAsHolder(const DutyFacts& facts, Instant now);
   DutyStep nextAsOther(const DutyFacts& facts, Instant now);
   Millis settleTime(const DutyFacts& facts) const;
-  UsageByWindow counted(const DutyFacts& facts) const;
+  UsageByWindow openUsage(const DutyFacts& facts) const;
   UsageByWindow unfixed(const DutyFacts& facts, const DutyRecord& record) const;
   bool fixWindows(const DutyFacts& facts, DutyRecord& record) const;
   std::int64_t firstWindow(const DutyFacts& facts) const;
@@ -123,4 +123,4 @@
 
 }  // namespace Hallchute
 
-#endif  // HALLCHUTE_DUTY_DUTYKEEPER_H
+#endif  // HALLCHUTE_DUTY_DUTYSTATEMACHINE_H
--- a/Hallchute/src/Fleet/FleetReport.h
+++ b/Hallchute/src/Fleet/FleetReport.h
@@ -43,7 +43,7 @@
 /// \brief Which daemons a report covers. \ingroup Fleet
 enum class ReportScope : std::uint8_t {
   /// The sender only; it reports to every daemon.
-  everybody,
+  broadcast,
   /// The sender only; a relay aggregates and forwards it.
   member,
   /// The sender and the daemons of its failure domain; sent to other relays.
@@ -63,7 +63,7 @@
   bool operator==(const DutyHolder&) const = default;
 
   /// \brief Adopts \p other if it has a later epoch; for the same epoch, adopts its resignation.
-  void learn(const DutyHolder& other) {
+  void mergeNewer(const DutyHolder& other) {
     if (other.epoch > epoch) *this = other;
     if (other.epoch == epoch && other.resigned) resigned = true;
   }
@@ -80,14 +80,14 @@
 
 /// \brief Age that stands for a contact that never took place.
 /// \ingroup Fleet
-inline constexpr Millis kNeverHeard = std::chrono::hours(24);
+inline constexpr Millis kUnknownAge = std::chrono::hours(24);
 
 /// \brief Report that a daemon sends to its peers several times a second. \ingroup Fleet
 ///
 /// All counters are totals since the incarnation began, so a lost report loses no data.
 struct FleetReport {
   FleetMember self;
-  ReportScope scope = ReportScope::everybody;
+  ReportScope scope = ReportScope::broadcast;
   /// Time since the Unix epoch: the sender's host clock, or the shared clock of all daemons that
   /// the report covers.
   Millis wallClock{0};
@@ -95,7 +95,7 @@
   /// The store revision up to which the sender's copy of the upstreams is complete.
   std::uint64_t upstreamsVersion = 0;
   /// Time since the store last answered the sender or any daemon whose reports reach it.
-  Millis storeAge{kNeverHeard};
+  Millis storeAge{kUnknownAge};
   SpentQuota spent;
   UpstreamLoads loads;
   /// Usage of the daemons in the scope.
--- a/Hallchute/src/Fleet/FleetRoster.cpp
+++ b/Hallchute/src/Fleet/FleetRoster.cpp
@@ -84,7 +84,7 @@
   return it == found.relays.end() ? DaemonId() : it->second;
 }
 
-bool FleetRoster::followsStore(Instant now) const {
+bool FleetRoster::watchesStore(Instant now) const {
   if (isSmall(now)) return true;
   const std::vector<DaemonId> watchers = highestRanked(self_.domain, kWatchersPerDomain, now);
   return std::find(watchers.begin(), watchers.end(), self_.daemon) != watchers.end();
@@ -161,7 +161,7 @@
   return now - started_ < FleetPeer::kPeerRetention ? std::max(count, earlierSize_) : count;
 }
 
-bool FleetRoster::hasMet(Instant now) const {
+bool FleetRoster::discoveryComplete(Instant now) const {
   if (now - started_ >= kDiscoveryTime) return true;
   // A daemon that was running before this one started knows the fleet and reports it at once.
   return std::any_of(peers_.begin(), peers_.end(), [&](const auto& entry) {
@@ -176,7 +176,7 @@
   fleet.heard = liveCount(now);
   fleet.reportLag = reportLag(now);
   const auto all = static_cast<double>(std::max<std::size_t>(1, expectedCount(now)));
-  fleet.discovering = !hasMet(now);
+  fleet.discovering = !discoveryComplete(now);
   if (fleet.discovering) {
     fleet.discoveryTimeLeft = std::chrono::duration_cast<Millis>(started_ + kDiscoveryTime - now);
   }
@@ -186,13 +186,13 @@
   return fleet;
 }
 
-std::uint64_t FleetRoster::heardIncarnation(const DaemonId& daemon, Instant now) const {
+std::uint64_t FleetRoster::liveIncarnation(const DaemonId& daemon, Instant now) const {
   const auto it = peers_.find(daemon);
   if (it == peers_.end() || !it->second.alive(now)) return 0;
   return it->second.report.self.incarnation;
 }
 
-std::map<DaemonId, std::uint64_t> FleetRoster::heardOthers(Instant now) const {
+std::map<DaemonId, std::uint64_t> FleetRoster::liveOthers(Instant now) const {
   std::map<DaemonId, std::uint64_t> others;
   for (const auto& [daemon, peer] : peers_) {
     if (peer.alive(now)) others[daemon] = peer.report.self.incarnation;
--- a/Hallchute/src/Fleet/FleetRoster.h
+++ b/Hallchute/src/Fleet/FleetRoster.h
@@ -54,7 +54,7 @@
   /// \brief The daemon that succeeds the own domain's relay; empty if there is none.
   DaemonId standby(Instant now) const;
   /// \brief Whether this daemon watches the store on behalf of its domain.
-  bool followsStore(Instant now) const;
+  bool watchesStore(Instant now) const;
   /// \brief Time for a report to reach all other daemons.
   Millis reportLag(Instant now) const;
 
@@ -63,10 +63,10 @@
   /// \brief Daemons that are likely to be running, reachable or not, this one included.
   std::size_t expectedCount(Instant now) const;
   /// \brief Whether the other daemons are likely to have been discovered.
-  bool hasMet(Instant now) const;
+  bool discoveryComplete(Instant now) const;
   QuotaFleet quotaFleet(Instant now) const;
-  std::uint64_t heardIncarnation(const DaemonId& daemon, Instant now) const;
-  std::map<DaemonId, std::uint64_t> heardOthers(Instant now) const;
+  std::uint64_t liveIncarnation(const DaemonId& daemon, Instant now) const;
+  std::map<DaemonId, std::uint64_t> liveOthers(Instant now) const;
   std::vector<const FleetReport*> reports(Instant now) const;
   /// \brief Whether that incarnation of a daemon is alive and so reports its own usage.
   bool isLiveIncarnation(const DaemonId& daemon, std::uint64_t incarnation, Instant now) const;
--- a/Hallchute/src/Fleet/FleetUsage.cpp
+++ b/Hallchute/src/Fleet/FleetUsage.cpp
@@ -56,7 +56,7 @@
   }
 }
 
-void FleetUsage::noteOwnWord(const FleetMember& member, const UsageByWindow& usage) {
+void FleetUsage::noteSelfReport(const FleetMember& member, const UsageByWindow& usage) {
   if (isSelf(member.daemon, member.incarnation)) return;
   IncarnationRecord& record = incarnation(member.daemon, member.incarnation, member.domain);
   const auto first = incarnations_.lower_bound({member.daemon, 0});
@@ -67,7 +67,7 @@
   if (!usage.empty()) dropBefore(record, usage.begin()->first);
 }
 
-void FleetUsage::noteHearsay(const IncarnationUsage& report) {
+void FleetUsage::noteIncarnation(const IncarnationUsage& report) {
   if (isSelf(report.daemon, report.incarnation)) return;
   UsageByWindow kept = report.usage;
   // Otherwise daemons with differing clocks would keep re-sending each other windows that all have
--- a/Hallchute/src/Fleet/FleetUsage.h
+++ b/Hallchute/src/Fleet/FleetUsage.h
@@ -28,9 +28,9 @@
   explicit FleetUsage(FleetMember self) : self_(std::move(self)) {}
 
   /// \brief Records the usage that an incarnation reports of itself.
-  void noteOwnWord(const FleetMember& member, const UsageByWindow& usage);
+  void noteSelfReport(const FleetMember& member, const UsageByWindow& usage);
   /// \brief Records the usage of an incarnation as reported by another daemon.
-  void noteHearsay(const IncarnationUsage& report);
+  void noteIncarnation(const IncarnationUsage& report);
   /// \brief Records the sums that a relay of another failure domain reports for its daemons.
   void noteDomainSums(const DomainName& domain, const UsageByWindow& sums);
   /// \brief Records the sums that a relay reports to this daemon for all others.
--- a/Hallchute/src/Fleet/FleetView.cpp
+++ b/Hallchute/src/Fleet/FleetView.cpp
@@ -36,7 +36,7 @@
 bool FleetView::countsInSums(const FleetReport& report, Instant now) const {
   const bool ownDomain = report.self.domain == self().domain;
   switch (report.scope) {
-    case ReportScope::everybody:
+    case ReportScope::broadcast:
       return roster_.isSmall(now);
     case ReportScope::member:
       return ownDomain && roster_.isRelay(now);
@@ -73,9 +73,9 @@
       const auto before = last.spent.find(organisation);
       const bool hasBase = comparable && before != last.spent.end();
       const double increase = spent - (hasBase ? before->second : 0);
-      if (increase > 0) update.spentMore[organisation] = increase;
+      if (increase > 0) update.newlySpent[organisation] = increase;
     }
-    recordSpent(peer, report.scope, update.spentMore);
+    recordSpent(peer, report.scope, update.newlySpent);
   }
   for (const UpstreamIncarnation& upstream : report.draining) {
     const auto& previous = last.draining;
@@ -108,9 +108,9 @@
 
 void FleetView::recordUsage(const FleetReport& report) {
   switch (report.scope) {
-    case ReportScope::everybody:
+    case ReportScope::broadcast:
     case ReportScope::member:
-      usage_.noteOwnWord(report.self, report.usage);
+      usage_.noteSelfReport(report.self, report.usage);
       break;
     case ReportScope::domain:
       usage_.noteDomainSums(report.self.domain, report.usage);
@@ -119,7 +119,7 @@
       usage_.noteFleetSums(report.usage);
       break;
   }
-  for (const IncarnationUsage& counted : report.incarnations) usage_.noteHearsay(counted);
+  for (const IncarnationUsage& counted : report.incarnations) usage_.noteIncarnation(counted);
 }
 
 /// Returns the usage of incarnations that no longer report themselves and, on a relay, of its own
@@ -150,7 +150,7 @@
     const bool direct = FleetPeer::isRecent(peer.reportedAt, now, FleetPeer::kLivenessTimeout);
     if (direct) ++heardDirectly;
     // A daemon that still reports to all has not learned yet that the fleet uses relays.
-    const bool newcomer = peer.report.scope == ReportScope::everybody;
+    const bool newcomer = peer.report.scope == ReportScope::broadcast;
     const bool domainMember = servesDomain && peer.report.self.domain == self().domain;
     bool chosen =
         (direct && (newcomer || domainMember || isMistakenRelay(peer, now))) || daemon == ownRelay;
@@ -223,7 +223,8 @@
 }
 
 void FleetView::updateAllLiveSince(Instant now) {
-  const bool all = roster_.hasMet(now) && roster_.liveCount(now) >= roster_.expectedCount(now);
+  const bool all =
+      roster_.discoveryComplete(now) && roster_.liveCount(now) >= roster_.expectedCount(now);
   if (!all) allLiveSince_.reset();
   if (all && !allLiveSince_) allLiveSince_ = now;
 }
--- a/Hallchute/src/Fleet/FleetView.h
+++ b/Hallchute/src/Fleet/FleetView.h
@@ -24,7 +24,7 @@
 
 /// \brief Changes that a received report brings. \ingroup Fleet
 struct FleetUpdate {
-  SpentQuota spentMore;
+  SpentQuota newlySpent;
   std::vector<UpstreamIncarnation> draining;
   /// The sender reported for the first time or has restarted.
   bool newIncarnation = false;
@@ -66,7 +66,7 @@
   /// \brief Number of daemons that are likely to be running, reachable or not, this one included.
   std::size_t known(Instant now) const { return roster_.expectedCount(now); }
   /// \brief Whether this daemon is likely to have discovered the others since its start.
-  bool hasMet(Instant now) const { return roster_.hasMet(now); }
+  bool discoveryComplete(Instant now) const { return roster_.discoveryComplete(now); }
   /// \brief Whether all daemons that are likely to be running have been live for as long as they
   /// need to report the usage of incarnations that ended.
   bool usageComplete(Instant now) const;
@@ -82,12 +82,12 @@
   UsageByWindow usageElsewhere(Instant) const { return usage_.elsewhere(); }
   void forgetUsageBefore(std::int64_t firstWindow) { usage_.forgetBefore(firstWindow); }
   /// \brief The incarnation of \p daemon if it is live, directly or through a relay; 0 otherwise.
-  std::uint64_t heardIncarnation(const DaemonId& daemon, Instant now) const {
-    return roster_.heardIncarnation(daemon, now);
+  std::uint64_t liveIncarnation(const DaemonId& daemon, Instant now) const {
+    return roster_.liveIncarnation(daemon, now);
   }
   /// \brief All other live daemons with their incarnations.
-  std::map<DaemonId, std::uint64_t> heardOthers(Instant now) const {
-    return roster_.heardOthers(now);
+  std::map<DaemonId, std::uint64_t> liveOthers(Instant now) const {
+    return roster_.liveOthers(now);
   }
   /// \brief The last reports of daemons that reported to this one recently, in order of their
   /// names.
@@ -99,7 +99,7 @@
   Millis reportLag(Instant now) const { return roster_.reportLag(now); }
   /// \brief Whether this daemon watches the store: all do in a small fleet, in a larger one the two
   /// highest-ranked of each failure domain.
-  bool followsStore(Instant now) const { return roster_.followsStore(now); }
+  bool watchesStore(Instant now) const { return roster_.watchesStore(now); }
 
  private:
   const FleetMember& self() const { return roster_.self(); }
--- a/Hallchute/src/Fleet/LapsedUpstreams.h
+++ b/Hallchute/src/Fleet/LapsedUpstreams.h
@@ -22,10 +22,10 @@
  public:
   /// The time that the platform states for upstreams to register again in a recovered store, and a
   /// margin for the update to arrive.
-  static constexpr Millis kBackWithin{2'200};
+  static constexpr Millis kReregistrationTime{2'200};
 
   /// \brief Starts the retention; the store answers again after an outage seen by all daemons.
-  void noteReturn(Instant now) { activeUntil_ = now + kBackWithin; }
+  void noteStoreRecovery(Instant now) { activeUntil_ = now + kReregistrationTime; }
   bool isActive(Instant now) const { return now < activeUntil_; }
   Instant activeUntil() const { return activeUntil_; }
   /// \brief Returns \p listed and, while active, those upstreams of \p before that it lacks.
--- a/Hallchute/src/Fleet/StoreNews.cpp
+++ b/Hallchute/src/Fleet/StoreFreshness.cpp
@@ -1,7 +1,7 @@
 // This file is part of hallchute, a serving system for language models.
 // SPDX-License-Identifier: Apache-2.0
 
-#include "Hallchute/src/Fleet/StoreNews.h"
+#include "Hallchute/src/Fleet/StoreFreshness.h"
 
 #include <algorithm>
 
@@ -35,42 +35,42 @@
 
 }  // namespace
 
-StoreNews::StoreNews(Instant started)
-    : started_(started), lastContact_(started - kNeverHeard), peersLostContactAt_(lastContact_) {}
+StoreFreshness::StoreFreshness(Instant started)
+    : started_(started), lastContact_(started - kUnknownAge), peersLostContactAt_(lastContact_) {}
 
-bool StoreNews::noteReport(const FleetReport& report, const StoreState& own, Instant now) {
+bool StoreFreshness::noteReport(const FleetReport& report, const StoreState& own, Instant now) {
   const bool wasStale = age(own, now) > kStaleAfter;
   lastContact_ = std::max(lastContact_, now - report.storeAge);
   newestSettingsVersion_ = std::max(newestSettingsVersion_, report.settingsVersion);
   // Peers that have just started can't report an outage.
-  if (report.storeAge > kEntryLapse && report.storeAge < kNeverHeard) peersLostContactAt_ = now;
+  if (report.storeAge > kEntryLapse && report.storeAge < kUnknownAge) peersLostContactAt_ = now;
   // If no peer reported the outage, only this daemon was cut off and the store may have been up.
   return wasStale && age(own, now) <= kStaleAfter && now - peersLostContactAt_ <= kStaleAfter;
 }
 
-Millis StoreNews::age(const StoreState& own, Instant now) const {
+Millis StoreFreshness::age(const StoreState& own, Instant now) const {
   if (own.inContact) return Millis(0);
   return std::max(Millis(0), std::chrono::duration_cast<Millis>(now - lastContact_));
 }
 
-bool StoreNews::mayBeOld(const StoreState& own, Instant now) const {
+bool StoreFreshness::mayBeStale(const StoreState& own, Instant now) const {
   return own.settingsVersion < newestSettingsVersion_ || age(own, now) > kStaleAfter;
 }
 
-bool StoreNews::wasAway(Instant now) const {
+bool StoreFreshness::wasUnreachable(Instant now) const {
   return now - lastContact_ > kStaleAfter;
 }
 
-FollowMode StoreNews::mode(bool follows, const StoreState& own, Instant now) const {
+FollowMode StoreFreshness::mode(bool follows, const StoreState& own, Instant now) const {
   if (follows) return FollowMode::following;
   const bool probes =
       now - std::max(lastContact_, started_) > kProbeAfter || own.settingsVersion == 0;
   return probes ? FollowMode::probing : FollowMode::off;
 }
 
-std::optional<std::string> StoreNews::peerToAsk(const StoreState& own,
-                                                std::span<const FleetReport* const> reports,
-                                                Instant now) {
+std::optional<std::string> StoreFreshness::snapshotPeer(const StoreState& own,
+                                                        std::span<const FleetReport* const> reports,
+                                                        Instant now) {
   const FleetReport* best = nullptr;
   for (const FleetReport* report : reports) {
     if (!isAhead(*report, own)) continue;
--- a/Hallchute/src/Fleet/StoreNews.h
+++ b/Hallchute/src/Fleet/StoreFreshness.h
@@ -1,8 +1,8 @@
 // This file is part of hallchute, a serving system for language models.
 // SPDX-License-Identifier: Apache-2.0
 
-#ifndef HALLCHUTE_FLEET_STORENEWS_H
-#define HALLCHUTE_FLEET_STORENEWS_H
+#ifndef HALLCHUTE_FLEET_STOREFRESHNESS_H
+#define HALLCHUTE_FLEET_STOREFRESHNESS_H
 
 #include <cstdint>
 #include <optional>
@@ -39,10 +39,10 @@
 /// Calls to the store, including pending watches, are billed. In a large fleet two daemons of each
 /// failure domain watch it; the others learn of newer versions from reports and request a snapshot
 /// from the sender.
-class StoreNews {
+class StoreFreshness {
  public:
   /// \param started when the daemon started; it leaves time to discover peers before it probes.
-  explicit StoreNews(Instant started);
+  explicit StoreFreshness(Instant started);
 
   /// \brief Records a peer's report. \returns whether it ends a store outage: peers had reported
   /// before that the store answered none of them.
@@ -50,14 +50,14 @@
   /// \brief Time since the store last answered this daemon or any whose reports reach it.
   Millis age(const StoreState& own, Instant now) const;
   /// \brief Whether the store was also unreachable for all peers, according to their reports.
-  bool wasAway(Instant now) const;
+  bool wasUnreachable(Instant now) const;
   /// \brief Whether newer settings may exist than this daemon's copy.
-  bool mayBeOld(const StoreState& own, Instant now) const;
+  bool mayBeStale(const StoreState& own, Instant now) const;
   /// \param follows whether this daemon is one of those that watch the store for the fleet.
   FollowMode mode(bool follows, const StoreState& own, Instant now) const;
   /// \brief The address of the peer to request a snapshot from now, if any.
-  std::optional<std::string> peerToAsk(const StoreState& own,
-                                       std::span<const FleetReport* const> reports, Instant now);
+  std::optional<std::string> snapshotPeer(const StoreState& own,
+                                          std::span<const FleetReport* const> reports, Instant now);
 
  private:
   Instant started_;
@@ -75,4 +75,4 @@
 
 }  // namespace Hallchute
 
-#endif  // HALLCHUTE_FLEET_STORENEWS_H
+#endif  // HALLCHUTE_FLEET_STOREFRESHNESS_H
--- a/Hallchute/src/Fleet/UpstreamCopy.cpp
+++ b/Hallchute/src/Fleet/UpstreamCopy.cpp
@@ -7,13 +7,13 @@
 
 namespace Hallchute {
 
-bool UpstreamCopy::noteReturn(Instant now) {
+bool UpstreamCopy::noteStoreRecovery(Instant now) {
   if (upstreams_.empty()) return false;
-  lapsed_.noteReturn(now);
+  lapsed_.noteStoreRecovery(now);
   return true;
 }
 
-bool UpstreamCopy::take(std::vector<UpstreamRecord> listed, std::uint64_t version, Instant now) {
+bool UpstreamCopy::update(std::vector<UpstreamRecord> listed, std::uint64_t version, Instant now) {
   // An equal list under a newer version isn't an update for peers either.
   if (version <= version_ || (version_ > 0 && listed == listed_)) return false;
   version_ = version;
--- a/Hallchute/src/Fleet/UpstreamCopy.h
+++ b/Hallchute/src/Fleet/UpstreamCopy.h
@@ -24,11 +24,11 @@
  public:
   /// \brief Starts retaining entries that the store lacks after an outage.
   /// \returns false if there are no entries to retain.
-  bool noteReturn(Instant now);
+  bool noteStoreRecovery(Instant now);
   /// \brief Applies a list that the store returned to this daemon or to a peer.
   /// \param version the store revision up to which the list is complete.
   /// \returns whether upstreams() changed.
-  bool take(std::vector<UpstreamRecord> listed, std::uint64_t version, Instant now);
+  bool update(std::vector<UpstreamRecord> listed, std::uint64_t version, Instant now);
   /// \brief Drops retained entries whose time has expired. \returns whether upstreams() changed.
   bool dropLapsed(Instant now);
   /// \brief The revision of listed(); 0 if there is no list.
--- a/Hallchute/src/Net/PeerMessages.h
+++ b/Hallchute/src/Net/PeerMessages.h
@@ -10,7 +10,7 @@
 #include <tuple>
 #include <vector>
 
-#include "Hallchute/src/Admission/GrantWanted.h"
+#include "Hallchute/src/Admission/GrantRequest.h"
 #include "Hallchute/src/Core/Refusal.h"
 #include "Hallchute/src/Membership/GossipMessage.h"
 #include "Hallchute/src/Membership/HostListEntry.h"
@@ -37,7 +37,7 @@
 /// \brief Opens a grant stream. \ingroup Net
 struct GrantRequestMessage {
   ShardKey shard;
-  GrantWanted wanted;
+  GrantRequest wanted;
   /// Time left of `wanted.deadline`, which itself stays at home.
   Millis remaining{0};
 };
@@ -62,7 +62,7 @@
 /// \brief Opens a stream that holds a grant made by an earlier owner. \ingroup Net
 struct HoldMessage {
   ShardKey shard;
-  GrantHeld held;
+  ExistingGrant held;
 };
 
 /// \brief Asks for settings newer than a revision. \ingroup Net
@@ -121,11 +121,11 @@
 inline auto wireFields(ShardKey& m) {
   return std::tie(m.service, m.domain, m.index);
 }
-inline auto wireFields(GrantWanted& m) {
+inline auto wireFields(GrantRequest& m) {
   return std::tie(m.id, m.organisation, m.weight, m.priority, m.promptTokens, m.expectedTokens,
-                  m.affinity, m.prefixHashes, m.avoid, m.resumption);
+                  m.affinity, m.prefixHashes, m.failedUpstreams, m.resumption);
 }
-inline auto wireFields(GrantHeld& m) {
+inline auto wireFields(ExistingGrant& m) {
   return std::tie(m.id, m.upstream, m.organisation, m.tokens);
 }
 inline auto wireFields(GrantRequestMessage& m) {
--- a/Hallchute/src/Node/DutyRunner.cpp
+++ b/Hallchute/src/Node/DutyRunner.cpp
@@ -78,16 +78,16 @@
 }
 
 void DutyRunner::noteHolder() {
-  const bool holds = keeper_.holds();
-  if (holds != held_) {
-    held_ = holds;
-    LogLine(LogLevel::info, holds ? "duty.taken" : "duty.left")
+  const bool holdsDuties = keeper_.holdsDuties();
+  if (holdsDuties != held_) {
+    held_ = holdsDuties;
+    LogLine(LogLevel::info, holdsDuties ? "duty.taken" : "duty.left")
         .with("epoch", keeper_.holder().epoch);
   }
   // A holder that lost a write's answer and found it done goes on with what it ordered.
-  if (holds && heldEpoch_ != keeper_.holder().epoch) {
+  if (holdsDuties && heldEpoch_ != keeper_.holder().epoch) {
     heldEpoch_ = keeper_.holder().epoch;
-    planner_.startOver(heldEpoch_ > kFirstEpoch);
+    planner_.resetOrders(heldEpoch_ > kFirstEpoch);
   }
   const std::lock_guard lock(mutex_);
   const DutyHolder known = keeper_.holder();
@@ -117,7 +117,7 @@
 void DutyRunner::turn() {
   const DutyInput input = callbacks_.input();
   if (input.leaving) {
-    if (keeper_.holds()) release(input.facts);
+    if (keeper_.holdsDuties()) release(input.facts);
     noteHolder();
     return;
   }
@@ -139,7 +139,7 @@
 }
 
 void DutyRunner::perform(const DutySteps::Nothing&, const DutyInput& input) {
-  if (keeper_.holds() && options_.ordersReplicas) orderReplicas(input);
+  if (keeper_.holdsDuties() && options_.ordersReplicas) orderReplicas(input);
 }
 
 void DutyRunner::perform(const DutySteps::Read&, const DutyInput&) {
--- a/Hallchute/src/Node/DutyRunner.h
+++ b/Hallchute/src/Node/DutyRunner.h
@@ -13,7 +13,7 @@
 #include <vector>
 
 #include "Hallchute/src/Capacity/ReplicaPlanner.h"
-#include "Hallchute/src/Duty/DutyKeeper.h"
+#include "Hallchute/src/Duty/DutyStateMachine.h"
 #include "Hallchute/src/Gateway/GatewaySettings.h"
 #include "Hallchute/src/Gateway/UpstreamRecord.h"
 
@@ -88,7 +88,7 @@
   FleetMember self_;
   Callbacks callbacks_;
   Metrics& metrics_;
-  DutyKeeper keeper_;
+  DutyStateMachine keeper_;
   ReplicaPlanner planner_;
   /// What was last logged of each service's need.
   std::map<ServiceName, std::uint32_t> loggedNeeds_;
--- a/Hallchute/src/Node/GatewayNode.cpp
+++ b/Hallchute/src/Node/GatewayNode.cpp
@@ -123,9 +123,9 @@
 }
 
 DutyHolder GatewayNode::namedHolder(Instant now) const {
-  DutyHolder named = duties_ ? duties_->holder() : DutyHolder{};
-  for (const FleetReport* report : fleet_.reports(now)) named.learn(report->duties);
-  return named;
+  DutyHolder reportedHolder = duties_ ? duties_->holder() : DutyHolder{};
+  for (const FleetReport* report : fleet_.reports(now)) reportedHolder.mergeNewer(report->duties);
+  return reportedHolder;
 }
 
 DutyInput GatewayNode::dutyInput() {
@@ -139,11 +139,11 @@
     DutyFacts& facts = input.facts;
     facts.wallClock = fleet_.clock().at(now);
     facts.known = fleet_.known(now);
-    facts.met = fleet_.hasMet(now);
+    facts.fleetDiscovered = fleet_.discoveryComplete(now);
     facts.usageComplete = fleet_.usageComplete(now);
     facts.usage = fleet_.usageElsewhere(now);
     addUsage(facts.usage, local_.usage);
-    facts.heard = fleet_.heardOthers(now);
+    facts.heard = fleet_.liveOthers(now);
     if (!leaving_) facts.heard[self_.daemon] = self_.incarnation;
     UpstreamLoads loads = fleet_.loadsElsewhere(now);
     for (const auto& [upstream, load] : local_.loads) loads[upstream] += load;
@@ -151,7 +151,7 @@
       const auto load = loads.find(record.id);
       if (load != loads.end()) input.load[record.service] += load->second.requests;
     }
-    facts.named = namedHolder(now);
+    facts.reportedHolder = namedHolder(now);
     facts.storeAge = copy_.age(now);
   });
   return input;
@@ -215,7 +215,7 @@
   FleetTrafficView told{fleet_.known(now), fleet_.loadsElsewhere(now), fleet_.quotaFleet(now),
                         fleet_.clock().offset()};
   logFleet(told, now);
-  trafficLoop_.post([this, told = std::move(told), old = copy_.mayBeOld(now)] {
+  trafficLoop_.post([this, told = std::move(told), old = copy_.mayBeStale(now)] {
     engine_.setFleet(told);
     engine_.setSettingsMayBeStale(old);
   });
@@ -259,9 +259,9 @@
         .with("address", report.self.address)
         .with("incarnation", report.self.incarnation);
   }
-  if (news.spentMore.empty() && news.draining.empty()) return;
+  if (news.newlySpent.empty() && news.draining.empty()) return;
   trafficLoop_.post([this, news = std::move(news)] {
-    for (const auto& [organisation, amount] : news.spentMore) {
+    for (const auto& [organisation, amount] : news.newlySpent) {
       engine_.noteSpentElsewhere(organisation, amount);
     }
     for (const UpstreamIncarnation& upstream : news.draining) engine_.noteDraining(upstream);
--- a/Hallchute/src/Node/ObjectFollower.h
+++ b/Hallchute/src/Node/ObjectFollower.h
@@ -13,7 +13,7 @@
 #include <thread>
 
 #include "Hallchute/src/Core/Time.h"
-#include "Hallchute/src/Fleet/StoreNews.h"
+#include "Hallchute/src/Fleet/StoreFreshness.h"
 #include "Hallchute/src/Ports/ObjectSource.h"
 
 namespace Hallchute {
--- a/Hallchute/src/Node/StoreCopy.cpp
+++ b/Hallchute/src/Node/StoreCopy.cpp
@@ -38,7 +38,7 @@
                         {[this](const ObjectFollower::Objects& objects, std::uint64_t asOf) {
                            decodeUpstreams(objects, asOf);
                          },
-                         [this] { loop_.post([this] { noteReturn(); }); }}) {}
+                         [this] { loop_.post([this] { noteStoreRecovery(); }); }}) {}
 
 void StoreCopy::start() {
   settingsFollower_.start();
@@ -56,11 +56,11 @@
 }
 
 void StoreCopy::turn(const FleetView& fleet, FleetLink& link, Instant now) {
-  const FollowMode mode = news_.mode(fleet.followsStore(now), state(), now);
+  const FollowMode mode = news_.mode(fleet.watchesStore(now), state(), now);
   settingsFollower_.setMode(mode);
   upstreamFollower_.setMode(mode);
   const std::vector<const FleetReport*> reports = fleet.reports(now);
-  const auto address = news_.peerToAsk(state(), reports, now);
+  const auto address = news_.snapshotPeer(state(), reports, now);
   if (!address) return;
   // A pending watch may hang on a lost path.
   settingsFollower_.refresh();
@@ -113,7 +113,7 @@
     LogLine(LogLevel::error, "upstreams.faulty").with("findings", describe(findings));
   }
   loop_.post([this, records = std::move(records), asOf] {
-    publishUpstreams(upstreams_.take(records, asOf, clockNow()));
+    publishUpstreams(upstreams_.update(records, asOf, clockNow()));
   });
 }
 
@@ -121,16 +121,16 @@
   if (news_.noteReport(report, state(), now)) holdLapsed(now);
 }
 
-void StoreCopy::noteReturn() {
+void StoreCopy::noteStoreRecovery() {
   const Instant now = clockNow();
   // A store that answered peers all the while has let no living upstream's entry lapse.
-  if (news_.wasAway(now)) holdLapsed(now);
+  if (news_.wasUnreachable(now)) holdLapsed(now);
 }
 
 void StoreCopy::holdLapsed(Instant now) {
-  if (!upstreams_.noteReturn(now)) return;
-  LogLine(LogLevel::info, "upstreams.held").with("forMs", LapsedUpstreams::kBackWithin);
-  loop_.after(LapsedUpstreams::kBackWithin,
+  if (!upstreams_.noteStoreRecovery(now)) return;
+  LogLine(LogLevel::info, "upstreams.held").with("forMs", LapsedUpstreams::kReregistrationTime);
+  loop_.after(LapsedUpstreams::kReregistrationTime,
               [this] { publishUpstreams(upstreams_.dropLapsed(clockNow())); });
 }
 
@@ -150,7 +150,7 @@
           .with("findings", describe(findings));
     }
   }
-  publishUpstreams(upstreams_.take(snapshot.upstreams, snapshot.upstreamsVersion, clockNow()));
+  publishUpstreams(upstreams_.update(snapshot.upstreams, snapshot.upstreamsVersion, clockNow()));
 }
 
 }  // namespace Hallchute
--- a/Hallchute/src/Node/StoreCopy.h
+++ b/Hallchute/src/Node/StoreCopy.h
@@ -11,7 +11,7 @@
 #include <vector>
 
 #include "Hallchute/src/Core/Time.h"
-#include "Hallchute/src/Fleet/StoreNews.h"
+#include "Hallchute/src/Fleet/StoreFreshness.h"
 #include "Hallchute/src/Fleet/UpstreamCopy.h"
 #include "Hallchute/src/Gateway/UpstreamRecord.h"
 #include "Hallchute/src/Node/FleetSnapshot.h"
@@ -53,14 +53,14 @@
   /// \brief How long ago the store last answered anybody this daemon hears of.
   Millis age(Instant now) const { return news_.age(state(), now); }
   /// \brief Whether newer settings may exist that this daemon can't hear of.
-  bool mayBeOld(Instant now) const { return news_.mayBeOld(state(), now); }
+  bool mayBeStale(Instant now) const { return news_.mayBeStale(state(), now); }
   const std::vector<UpstreamRecord>& upstreams() const { return upstreams_.upstreams(); }
 
  private:
   void decodeSettings(const JsonObject& content, std::string_view source);
   void decodeUpstreams(const ObjectFollower::Objects& objects, std::uint64_t asOf);
   void takeSettings(const GatewaySettings& settings, const std::string& text);
-  void noteReturn();
+  void noteStoreRecovery();
   void holdLapsed(Instant now);
   /// \param changed whether the upstreams did; the callback learns of them.
   void publishUpstreams(bool changed);
@@ -69,7 +69,7 @@
   EventLoop& loop_;
   NodePorts ports_;
   Callbacks callbacks_;
-  StoreNews news_;
+  StoreFreshness news_;
   std::uint64_t settingsVersion_ = 0;
   std::string settingsText_;
   UpstreamCopy upstreams_;
--- a/Hallchute/src/Traffic/TrafficEngine.cpp
+++ b/Hallchute/src/Traffic/TrafficEngine.cpp
@@ -78,7 +78,7 @@
     LogLine(LogLevel::info, restarted ? "upstream.restarted" : "upstream.gone")
         .with("upstream", removed.str())
         .with("incarnation", entry == nullptr ? 0 : entry->record.incarnation);
-    pool_.forget(removed);
+    pool_.closeIdle(removed);
   }
 }
 
--- a/Hallchute/src/Traffic/TrafficSession.cpp
+++ b/Hallchute/src/Traffic/TrafficSession.cpp
@@ -153,7 +153,8 @@
   const Instant now = clockNow();
   const UpstreamId id = upstream.record.id;
   selection_.tried.insert(id);
-  const ChannelCare care = admission_.route->mayRepeat() ? ChannelCare::any : ChannelCare::sure;
+  const ConnectionReuse care =
+      admission_.route->mayRepeat() ? ConnectionReuse::any : ConnectionReuse::safe;
   channel_ = engine_.pool().take(id, upstream.record.address, care,
                                  engine_.connectionShare(service_), now);
   if (channel_ == nullptr) return false;
@@ -331,7 +332,7 @@
   engine_.metrics().time("hallchute_dispatch_ms", "service=\"" + service_.str() + "\"",
                          now - dispatchedAt_);
   if (keepChannel) {
-    engine_.pool().giveBack(upstream_, std::move(channel_), now);
+    engine_.pool().release(upstream_, std::move(channel_), now);
   } else {
     engine_.pool().discard(upstream_, std::move(channel_));
   }
--- a/Hallchute/src/Upstream/UpstreamPool.cpp
+++ b/Hallchute/src/Upstream/UpstreamPool.cpp
@@ -41,15 +41,16 @@
 UpstreamPool::~UpstreamPool() = default;
 
 std::unique_ptr<UpstreamChannel> UpstreamPool::take(const UpstreamId& upstream,
-                                                    const std::string& address, ChannelCare care,
-                                                    std::size_t most, Instant now) {
+                                                    const std::string& address,
+                                                    ConnectionReuse care, std::size_t most,
+                                                    Instant now) {
   Entry& entry = entries_[upstream];
   // The most recently used one is the surest.
   while (!entry.idle.empty()) {
     Idle idle = std::move(entry.idle.back());
     entry.idle.pop_back();
     const Millis limit =
-        care == ChannelCare::sure ? sureFor(*idle.channel) : keptFor(*idle.channel);
+        care == ConnectionReuse::safe ? sureFor(*idle.channel) : keptFor(*idle.channel);
     if (now - idle.since < limit && idle.channel->quiet()) {
       idle.channel->onIdleEnd = nullptr;
       return std::move(idle.channel);
@@ -64,8 +65,8 @@
   return std::make_unique<UpstreamChannel>(loop_, address, source_, kConnectLimit);
 }
 
-void UpstreamPool::giveBack(const UpstreamId& upstream, std::unique_ptr<UpstreamChannel> channel,
-                            Instant now) {
+void UpstreamPool::release(const UpstreamId& upstream, std::unique_ptr<UpstreamChannel> channel,
+                           Instant now) {
   const auto it = entries_.find(upstream);
   if (it == entries_.end() || !channel->reusable()) {
     discard(upstream, std::move(channel));
@@ -110,7 +111,7 @@
   loop_.post([gone] {});
 }
 
-void UpstreamPool::forget(const UpstreamId& upstream) {
+void UpstreamPool::closeIdle(const UpstreamId& upstream) {
   const auto it = entries_.find(upstream);
   if (it == entries_.end()) return;
   std::vector<Idle> idle = std::move(it->second.idle);
--- a/Hallchute/src/Upstream/UpstreamPool.h
+++ b/Hallchute/src/Upstream/UpstreamPool.h
@@ -20,11 +20,11 @@
 class UpstreamChannel;
 
 /// \brief How sure a connection must be to be still open. \ingroup Upstream
-enum class ChannelCare {
+enum class ConnectionReuse {
   /// The request may go out again if the connection turns out to be closed.
   any,
   /// It must not: a kept connection close to the end of its idle time is passed over.
-  sure,
+  safe,
 };
 
 /// \brief Kept connections to upstreams. Traffic thread only.
@@ -40,13 +40,13 @@
 
   /// \brief A free connection, or a new one; null if \p most are open and none is free.
   std::unique_ptr<UpstreamChannel> take(const UpstreamId& upstream, const std::string& address,
-                                        ChannelCare care, std::size_t most, Instant now);
+                                        ConnectionReuse care, std::size_t most, Instant now);
   /// \brief Takes a connection back after an exchange; one that can't be used again is closed.
-  void giveBack(const UpstreamId& upstream, std::unique_ptr<UpstreamChannel> channel, Instant now);
+  void release(const UpstreamId& upstream, std::unique_ptr<UpstreamChannel> channel, Instant now);
   /// \brief Ends the exchange on a connection at once.
   void discard(const UpstreamId& upstream, std::unique_ptr<UpstreamChannel> channel);
   /// \brief Closes the idle connections of an upstream that is gone.
-  void forget(const UpstreamId& upstream);
+  void closeIdle(const UpstreamId& upstream);
   /// \brief Closes connections that rested for too long.
   void sweep(Instant now);
 
--- a/bench/policy/Trial.cpp
+++ b/bench/policy/Trial.cpp
@@ -11,7 +11,7 @@
 using Hallchute::Granted;
 using Hallchute::GrantEnd;
 using Hallchute::GrantRefused;
-using Hallchute::GrantWanted;
+using Hallchute::GrantRequest;
 using Hallchute::Instant;
 using Hallchute::Millis;
 using Hallchute::UpstreamId;
@@ -113,7 +113,7 @@
         death(event.subject);
         break;
       case What::retry:
-        want(event.subject);
+        requestGrant(event.subject);
         break;
     }
   }
@@ -138,13 +138,13 @@
     ++result_.requests;
   }
   budget_.recordFirstAttempt();
-  want(id);
+  requestGrant(id);
 }
 
-void Trial::want(std::uint64_t id) {
+void Trial::requestGrant(std::uint64_t id) {
   Request& request = requests_.at(id);
   const StreamSpec& stream = *request.session.spec;
-  GrantWanted wanted;
+  GrantRequest wanted;
   wanted.id = id;
   wanted.organisation = Hallchute::OrganisationName(stream.organisation);
   wanted.priority = stream.priority;
@@ -155,12 +155,12 @@
   if (wanted.prefixHashes.size() > Hallchute::PrefixBlocks::kMaxBlocks) {
     wanted.prefixHashes.resize(Hallchute::PrefixBlocks::kMaxBlocks);
   }
-  wanted.avoid = request.avoid;
+  wanted.failedUpstreams = request.failedUpstreams;
   wanted.resumption = request.started;
   wanted.deadline =
       instant() +
       Millis(static_cast<std::int64_t>(request.started ? 10 * kQueueLimitMs : kQueueLimitMs));
-  perform(owner_.want(std::move(wanted), instant()));
+  perform(owner_.requestGrant(std::move(wanted), instant()));
 }
 
 void Trial::perform(const std::vector<Hallchute::GrantAction>& actions) {
@@ -177,7 +177,7 @@
   if (request.counts) ++result_.attempts;
   const bool broken = engine < spec_.brokenEngines || dead_[engine];
   if (broken) {
-    request.avoid.push_back(grant.upstream);
+    request.failedUpstreams.push_back(grant.upstream);
     perform(owner_.release(grant.id, GrantEnd::connectFailed, instant()));
     const bool mayRetry = request.attempts < kMaxAttempts && budget_.tryConsumeRetry();
     if (mayRetry) {
@@ -282,7 +282,7 @@
 
 void Trial::notice(std::size_t engine) {
   schedule(now_ + spec_.waveNoticeMs, What::death, engine);
-  perform(owner_.markLeaving(UpstreamId(std::to_string(engine)), instant()));
+  perform(owner_.markDraining(UpstreamId(std::to_string(engine)), instant()));
   if (!spec_.plannedMoves) return;
   std::vector<Hallchute::RunningStream> streams;
   for (const std::uint64_t id : engines_[engine].running()) {
@@ -311,9 +311,9 @@
   Request& request = requests_.at(id);
   request.produced = engines_[engine].remove(id);
   request.imported = withCache ? request.session.promptTokens() + request.produced : 0;
-  request.avoid.emplace_back(std::to_string(engine));
+  request.failedUpstreams.emplace_back(std::to_string(engine));
   perform(owner_.release(id, GrantEnd::cancelled, instant()));
-  want(id);
+  requestGrant(id);
 }
 
 }  // namespace Bench
--- a/bench/policy/Trial.h
+++ b/bench/policy/Trial.h
@@ -106,12 +106,12 @@
     bool prefilled = false;
     bool counts = false;
     int attempts = 0;
-    std::vector<Hallchute::UpstreamId> avoid;
+    std::vector<Hallchute::UpstreamId> failedUpstreams;
   };
 
   void schedule(double at, What what, std::uint64_t subject);
   void arrive(std::uint64_t session);
-  void want(std::uint64_t id);
+  void requestGrant(std::uint64_t id);
   void perform(const std::vector<Hallchute::GrantAction>& actions);
   void granted(const Hallchute::Granted& grant);
   void refused(std::uint64_t id);
--- a/bench/slopes/main.cpp
+++ b/bench/slopes/main.cpp
@@ -124,7 +124,7 @@
   owner->setUpstreams(live, kStart);
   GrantId id = 1;
   const auto wish = [&] {
-    GrantWanted wanted;
+    GrantRequest wanted;
     wanted.id = id++;
     wanted.organisation = OrganisationName("o" + std::to_string(id % 5));
     wanted.promptTokens = blocks * PrefixBlocks::kTokensPerBlock;
@@ -138,13 +138,13 @@
   };
   const std::size_t places = upstreams * policy.maxInFlightPerUpstream;
   for (std::size_t i = 0; i < (queued > 0 ? places + queued : places / 2); ++i) {
-    owner->want(wish(), kStart);
+    owner->requestGrant(wish(), kStart);
   }
   constexpr int kCycles = 3'000;
   GrantId oldest = 1;
   const double before = cpuSeconds();
   for (int i = 0; i < kCycles; ++i) {
-    owner->want(wish(), kStart);
+    owner->requestGrant(wish(), kStart);
     owner->noteFirstToken(oldest, kStart);
     owner->release(oldest++, GrantEnd::finished, kStart);
   }
--- a/docs/examples/embedding.cpp
+++ b/docs/examples/embedding.cpp
@@ -13,14 +13,14 @@
   ShardOwner owner{ShardPolicy{}};
   owner.setUpstreams(std::vector<UpstreamId>{UpstreamId("a"), UpstreamId("b")}, now);
 
-  GrantWanted wanted;
+  GrantRequest wanted;
   wanted.id = 1;
   wanted.organisation = OrganisationName("alliance");
   wanted.promptTokens = 120;
   wanted.expectedTokens = 40;
   wanted.deadline = now + Millis(5'000);
 
-  for (const GrantAction& action : owner.want(wanted, now)) {
+  for (const GrantAction& action : owner.requestGrant(wanted, now)) {
     if (const auto* granted = std::get_if<Granted>(&action)) {
       std::cout << "send request " << granted->id << " to upstream " << granted->upstream.str()
                 << "\n";
--- a/test/AdmissionTest.cpp
+++ b/test/AdmissionTest.cpp
@@ -20,8 +20,8 @@
   return made;
 }
 
-GrantWanted wish(GrantId id, const char* organisation = "o", std::int64_t priority = 5) {
-  GrantWanted made;
+GrantRequest wish(GrantId id, const char* organisation = "o", std::int64_t priority = 5) {
+  GrantRequest made;
   made.id = id;
   made.organisation = OrganisationName(organisation);
   made.priority = priority;
@@ -75,9 +75,10 @@
     policy.maxInFlightPerUpstream = 2;
     ShardOwner shard = owner(2, policy);
     for (GrantId id = 1; id <= 4; ++id) {
-      CPPUNIT_ASSERT_EQUAL(std::size_t(1), idsOf<Granted>(shard.want(wish(id), kStart)).size());
+      CPPUNIT_ASSERT_EQUAL(std::size_t(1),
+                           idsOf<Granted>(shard.requestGrant(wish(id), kStart)).size());
     }
-    CPPUNIT_ASSERT_EQUAL(std::size_t(1), idsOf<Queued>(shard.want(wish(5), kStart)).size());
+    CPPUNIT_ASSERT_EQUAL(std::size_t(1), idsOf<Queued>(shard.requestGrant(wish(5), kStart)).size());
     CPPUNIT_ASSERT_EQUAL(std::size_t(2), shard.inFlightAt(UpstreamId("u0")));
     const auto freed = shard.release(1, GrantEnd::finished, kStart);
     CPPUNIT_ASSERT(idsOf<Granted>(freed) == std::vector<GrantId>{5});
@@ -88,17 +89,17 @@
     policy.maxInFlightPerUpstream = 1;
     policy.maxQueue = 1;
     ShardOwner shard = owner(1, policy);
-    shard.want(wish(1), kStart);
-    shard.want(wish(2), kStart);
+    shard.requestGrant(wish(1), kStart);
+    shard.requestGrant(wish(2), kStart);
     struct Case {
-      GrantWanted wanted;
+      GrantRequest wanted;
       RefusalReason reason;
     };
-    GrantWanted late = wish(4);
+    GrantRequest late = wish(4);
     late.deadline = kStart;
     const Case cases[] = {{wish(3), RefusalReason::overloaded}, {late, RefusalReason::overloaded}};
     for (const Case& c : cases) {
-      const auto actions = shard.want(c.wanted, kStart);
+      const auto actions = shard.requestGrant(c.wanted, kStart);
       CPPUNIT_ASSERT(reasonOf(actions) == c.reason);
       const Refusal& refusal = std::get<GrantRefused>(actions.front()).refusal;
       CPPUNIT_ASSERT(refusal.retryAfter && *refusal.retryAfter >= Millis(100));
@@ -107,7 +108,7 @@
     const auto expired = shard.tick(kStart + Millis(5'000));
     CPPUNIT_ASSERT(idsOf<GrantRefused>(expired) == std::vector<GrantId>{2});
     ShardOwner empty = owner(0);
-    CPPUNIT_ASSERT(reasonOf(empty.want(wish(9), kStart)) == RefusalReason::noUpstream);
+    CPPUNIT_ASSERT(reasonOf(empty.requestGrant(wish(9), kStart)) == RefusalReason::noUpstream);
   }
 
   void urgentWorkGoesFirstAndWaitingRaises() {
@@ -120,13 +121,13 @@
       ShardPolicy policy;
       policy.maxInFlightPerUpstream = 1;
       ShardOwner shard = owner(1, policy);
-      shard.want(wish(1), kStart);
-      GrantWanted patient = wish(2, "o", 0);
+      shard.requestGrant(wish(1), kStart);
+      GrantRequest patient = wish(2, "o", 0);
       patient.deadline = kStart + Millis(60'000);
-      shard.want(patient, kStart);
-      GrantWanted urgent = wish(3, "o", 9);
+      shard.requestGrant(patient, kStart);
+      GrantRequest urgent = wish(3, "o", 9);
       urgent.deadline = kStart + Millis(60'000);
-      shard.want(urgent, kStart + c.patientWaits);
+      shard.requestGrant(urgent, kStart + c.patientWaits);
       const auto freed = shard.release(1, GrantEnd::finished, kStart + c.patientWaits);
       CPPUNIT_ASSERT(idsOf<Granted>(freed) == std::vector<GrantId>{c.first});
     }
@@ -137,13 +138,13 @@
     policy.maxInFlightPerUpstream = 1;
     policy.maxQueue = 2;
     ShardOwner shard = owner(1, policy);
-    shard.want(wish(1), kStart);
-    shard.want(wish(2, "o", 1), kStart);
-    shard.want(wish(3, "o", 5), kStart);
-    const auto urgent = shard.want(wish(4, "o", 9), kStart);
+    shard.requestGrant(wish(1), kStart);
+    shard.requestGrant(wish(2, "o", 1), kStart);
+    shard.requestGrant(wish(3, "o", 5), kStart);
+    const auto urgent = shard.requestGrant(wish(4, "o", 9), kStart);
     CPPUNIT_ASSERT(idsOf<GrantRefused>(urgent) == std::vector<GrantId>{2});
     CPPUNIT_ASSERT(idsOf<Queued>(urgent) == std::vector<GrantId>{4});
-    const auto patient = shard.want(wish(5, "o", 1), kStart);
+    const auto patient = shard.requestGrant(wish(5, "o", 1), kStart);
     CPPUNIT_ASSERT(idsOf<GrantRefused>(patient) == std::vector<GrantId>{5});
   }
 
@@ -153,16 +154,16 @@
     policy.maxQueue = 1'000;
     ShardOwner shard = owner(1, policy);
     GrantId id = 1;
-    shard.want(wish(id++), kStart);
+    shard.requestGrant(wish(id++), kStart);
     std::map<GrantId, std::string> senders;
     // A sends ten times as much as B, and B weighs three times as much.
     for (int i = 0; i < 200; ++i) {
       const bool isB = i % 11 == 0;
-      GrantWanted wanted = wish(id, isB ? "B" : "A");
+      GrantRequest wanted = wish(id, isB ? "B" : "A");
       wanted.weight = isB ? 3 : 1;
       wanted.deadline = kStart + Millis(600'000);
       senders[id] = isB ? "B" : "A";
-      shard.want(wanted, kStart);
+      shard.requestGrant(wanted, kStart);
       ++id;
     }
     std::map<std::string, int> served;
@@ -181,18 +182,18 @@
     policy.maxQueue = 50;
     ShardOwner shard = owner(1, policy);
     const auto big = [](GrantId id, const char* organisation) {
-      GrantWanted wanted = wish(id, organisation);
+      GrantRequest wanted = wish(id, organisation);
       wanted.promptTokens = 30'000;
       wanted.deadline = kStart + Millis(600'000);
       return wanted;
     };
-    shard.want(big(1, "flood"), kStart);
-    for (GrantId id = 2; id <= 51; ++id) shard.want(big(id, "flood"), kStart);
+    shard.requestGrant(big(1, "flood"), kStart);
+    for (GrantId id = 2; id <= 51; ++id) shard.requestGrant(big(id, "flood"), kStart);
     // Half a minute later the flood's wishes are old, and the queue is full of them.
     const Instant later = kStart + Millis(30'000);
     shard.release(1, GrantEnd::finished, later);
-    shard.want(big(98, "flood"), later);
-    const auto other = shard.want(big(99, "other"), later);
+    shard.requestGrant(big(98, "flood"), later);
+    const auto other = shard.requestGrant(big(99, "other"), later);
     CPPUNIT_ASSERT(idsOf<Queued>(other) == std::vector<GrantId>{99});
     CPPUNIT_ASSERT_EQUAL(std::size_t(1), idsOf<GrantRefused>(other).size());
     const auto freed = shard.release(2, GrantEnd::finished, later);
@@ -203,57 +204,61 @@
     ShardPolicy policy;
     policy.maxPrefillTokensPerUpstream = 100;
     ShardOwner shard = owner(1, policy);
-    GrantWanted wanted = wish(1);
+    GrantRequest wanted = wish(1);
     wanted.promptTokens = 400;
     // One prompt over the limit is still granted, the next one waits for its first token.
-    CPPUNIT_ASSERT_EQUAL(std::size_t(1), idsOf<Granted>(shard.want(wanted, kStart)).size());
-    CPPUNIT_ASSERT_EQUAL(std::size_t(1), idsOf<Queued>(shard.want(wish(2), kStart)).size());
+    CPPUNIT_ASSERT_EQUAL(std::size_t(1), idsOf<Granted>(shard.requestGrant(wanted, kStart)).size());
+    CPPUNIT_ASSERT_EQUAL(std::size_t(1), idsOf<Queued>(shard.requestGrant(wish(2), kStart)).size());
     CPPUNIT_ASSERT(idsOf<Granted>(shard.noteFirstToken(1, kStart)) == std::vector<GrantId>{2});
     shard.noteFirstToken(1, kStart);
-    CPPUNIT_ASSERT_EQUAL(std::size_t(1), idsOf<Granted>(shard.want(wish(3), kStart)).size());
+    CPPUNIT_ASSERT_EQUAL(std::size_t(1),
+                         idsOf<Granted>(shard.requestGrant(wish(3), kStart)).size());
   }
 
   void limitsOfAnOrganisationHold() {
     ShardPolicy policy;
     policy.organisationInFlight = 2;
     ShardOwner shard = owner(4, policy);
-    shard.want(wish(1), kStart);
-    shard.want(wish(2), kStart);
-    CPPUNIT_ASSERT(reasonOf(shard.want(wish(3), kStart)) == RefusalReason::organisationLimit);
-    CPPUNIT_ASSERT_EQUAL(std::size_t(1), idsOf<Granted>(shard.want(wish(4, "p"), kStart)).size());
+    shard.requestGrant(wish(1), kStart);
+    shard.requestGrant(wish(2), kStart);
+    CPPUNIT_ASSERT(reasonOf(shard.requestGrant(wish(3), kStart)) ==
+                   RefusalReason::organisationLimit);
+    CPPUNIT_ASSERT_EQUAL(std::size_t(1),
+                         idsOf<Granted>(shard.requestGrant(wish(4, "p"), kStart)).size());
     shard.release(1, GrantEnd::finished, kStart);
-    CPPUNIT_ASSERT_EQUAL(std::size_t(1), idsOf<Granted>(shard.want(wish(5), kStart)).size());
+    CPPUNIT_ASSERT_EQUAL(std::size_t(1),
+                         idsOf<Granted>(shard.requestGrant(wish(5), kStart)).size());
   }
 
   void leavingUpstreamsGetNothingNew() {
     ShardOwner shard = owner(2);
-    shard.markLeaving(UpstreamId("u0"), kStart);
+    shard.markDraining(UpstreamId("u0"), kStart);
     for (GrantId id = 1; id <= 6; ++id) {
-      const auto actions = shard.want(wish(id), kStart);
+      const auto actions = shard.requestGrant(wish(id), kStart);
       CPPUNIT_ASSERT(std::get<Granted>(actions.front()).upstream == UpstreamId("u1"));
     }
     // A list that names it again does not bring it back.
     shard.setUpstreams(upstreams(2), kStart);
-    CPPUNIT_ASSERT(std::get<Granted>(shard.want(wish(7), kStart).front()).upstream ==
+    CPPUNIT_ASSERT(std::get<Granted>(shard.requestGrant(wish(7), kStart).front()).upstream ==
                    UpstreamId("u1"));
-    const auto actions = shard.markLeaving(UpstreamId("u1"), kStart);
+    const auto actions = shard.markDraining(UpstreamId("u1"), kStart);
     CPPUNIT_ASSERT(actions.empty());
-    CPPUNIT_ASSERT(reasonOf(shard.want(wish(8), kStart)) == RefusalReason::noUpstream);
+    CPPUNIT_ASSERT(reasonOf(shard.requestGrant(wish(8), kStart)) == RefusalReason::noUpstream);
   }
 
   void failuresShunAnUpstreamForAWhile() {
     ShardOwner shard = owner(1);
-    shard.want(wish(1), kStart);
+    shard.requestGrant(wish(1), kStart);
     shard.release(1, GrantEnd::connectFailed, kStart);
-    CPPUNIT_ASSERT(reasonOf(shard.want(wish(2), kStart + Millis(499))) ==
+    CPPUNIT_ASSERT(reasonOf(shard.requestGrant(wish(2), kStart + Millis(499))) ==
                    RefusalReason::noUpstream);
     const Instant later = kStart + Millis(500);
-    CPPUNIT_ASSERT_EQUAL(std::size_t(1), idsOf<Granted>(shard.want(wish(3), later)).size());
+    CPPUNIT_ASSERT_EQUAL(std::size_t(1), idsOf<Granted>(shard.requestGrant(wish(3), later)).size());
     // Until it has proved itself, it gets one at a time.
-    CPPUNIT_ASSERT_EQUAL(std::size_t(1), idsOf<Queued>(shard.want(wish(4), later)).size());
+    CPPUNIT_ASSERT_EQUAL(std::size_t(1), idsOf<Queued>(shard.requestGrant(wish(4), later)).size());
     const auto freed = shard.release(3, GrantEnd::finished, later);
     CPPUNIT_ASSERT(idsOf<Granted>(freed) == std::vector<GrantId>{4});
-    CPPUNIT_ASSERT_EQUAL(std::size_t(1), idsOf<Granted>(shard.want(wish(5), later)).size());
+    CPPUNIT_ASSERT_EQUAL(std::size_t(1), idsOf<Granted>(shard.requestGrant(wish(5), later)).size());
   }
 
   void resumptionsGoBeforeNewWorkAndPastLimits() {
@@ -261,24 +266,24 @@
     policy.maxInFlightPerUpstream = 1;
     policy.organisationInFlight = 1;
     ShardOwner shard = owner(1, policy);
-    shard.want(wish(1), kStart);
-    shard.want(wish(2, "p", 9), kStart);
-    GrantWanted resumed = wish(3, "o", 0);
+    shard.requestGrant(wish(1), kStart);
+    shard.requestGrant(wish(2, "p", 9), kStart);
+    GrantRequest resumed = wish(3, "o", 0);
     resumed.resumption = true;
-    CPPUNIT_ASSERT_EQUAL(std::size_t(1), idsOf<Queued>(shard.want(resumed, kStart)).size());
+    CPPUNIT_ASSERT_EQUAL(std::size_t(1), idsOf<Queued>(shard.requestGrant(resumed, kStart)).size());
     const auto freed = shard.release(1, GrantEnd::finished, kStart);
     CPPUNIT_ASSERT(idsOf<Granted>(freed) == std::vector<GrantId>{3});
   }
 
   void avoidedUpstreamsAreTakenOnlyAtLast() {
     ShardOwner shard = owner(2);
-    GrantWanted wanted = wish(1);
-    wanted.avoid = {UpstreamId("u0")};
-    CPPUNIT_ASSERT(std::get<Granted>(shard.want(wanted, kStart).front()).upstream ==
+    GrantRequest wanted = wish(1);
+    wanted.failedUpstreams = {UpstreamId("u0")};
+    CPPUNIT_ASSERT(std::get<Granted>(shard.requestGrant(wanted, kStart).front()).upstream ==
                    UpstreamId("u1"));
     wanted.id = 2;
-    wanted.avoid = upstreams(2);
-    CPPUNIT_ASSERT_EQUAL(std::size_t(1), idsOf<Granted>(shard.want(wanted, kStart)).size());
+    wanted.failedUpstreams = upstreams(2);
+    CPPUNIT_ASSERT_EQUAL(std::size_t(1), idsOf<Granted>(shard.requestGrant(wanted, kStart)).size());
   }
 
   void heldGrantsCount() {
@@ -286,7 +291,7 @@
     policy.maxInFlightPerUpstream = 1;
     ShardOwner shard = owner(1, policy);
     shard.hold({50, UpstreamId("u0"), OrganisationName("o"), 20});
-    CPPUNIT_ASSERT_EQUAL(std::size_t(1), idsOf<Queued>(shard.want(wish(1), kStart)).size());
+    CPPUNIT_ASSERT_EQUAL(std::size_t(1), idsOf<Queued>(shard.requestGrant(wish(1), kStart)).size());
     const auto freed = shard.release(50, GrantEnd::finished, kStart);
     CPPUNIT_ASSERT(idsOf<Granted>(freed) == std::vector<GrantId>{1});
     // One at an upstream that is not known here is counted and asks for nothing more.
@@ -313,9 +318,9 @@
     };
     for (GrantId id = 1; id <= 3'000; ++id) {
       now += Millis(random() % 20);
-      GrantWanted wanted = wish(id, random() % 3 == 0 ? "a" : "b", random() % 10);
+      GrantRequest wanted = wish(id, random() % 3 == 0 ? "a" : "b", random() % 10);
       wanted.deadline = now + Millis(random() % 100);
-      note(shard.want(wanted, now));
+      note(shard.requestGrant(wanted, now));
       while (!running.empty() && random() % 2 == 0) {
         const std::size_t index = random() % running.size();
         const GrantId done = running[index];
--- a/test/CapacityTest.cpp
+++ b/test/CapacityTest.cpp
@@ -97,7 +97,7 @@
   }
   void replaceHolder() {
     planner_ = ReplicaPlanner(CapacityPolicy{});
-    planner_.startOver(true);
+    planner_.resetOrders(true);
   }
   void appear(std::uint32_t onDemandEach) {
     for (auto& [group, count] : count_) {
--- a/test/DutyFleet.cpp
+++ b/test/DutyFleet.cpp
@@ -71,7 +71,7 @@
   host.view->addAddresses(addresses);
   host.view->noteWallClock(wallClock(index, ms), at(ms));
   if (stored_) host.view->noteEarlierSize(stored_->record.daemons);
-  host.keeper = std::make_unique<DutyKeeper>(kPolicy, self.daemon, incarnation);
+  host.keeper = std::make_unique<DutyStateMachine>(kPolicy, self.daemon, incarnation);
   host.usage.clear();
 }
 
@@ -121,7 +121,7 @@
     leave(now_);
     for (std::size_t i = 0; i < hosts_.size(); ++i) turn(i, now_);
     const bool held = std::any_of(hosts_.begin(), hosts_.end(), [](const Host& host) {
-      return host.keeper != nullptr && host.keeper->holds();
+      return host.keeper != nullptr && host.keeper->holdsDuties();
     });
     if (!held && stored_) unheld_ += kStep;
     while (!sent_.empty() && sent_.front().ms + kOnTheWay <= now_) {
@@ -161,7 +161,7 @@
   own.wallClock = wallClock(index, ms);
   own.usage = host.usage;
   own.leaving = host.endsAt != 0;
-  own.duties = facts(host, ms).named;
+  own.duties = facts(host, ms).reportedHolder;
   for (AddressedReport& report : host.view->compose(own, at(ms))) {
     sent_.push_back({ms, index, byAddress_.at(report.address), std::move(report.report)});
   }
@@ -177,22 +177,23 @@
   const Instant now = at(ms);
   const FleetView& view = *host.view;
   DutyFacts facts;
-  facts.heard = view.heardOthers(now);
+  facts.heard = view.liveOthers(now);
   if (host.endsAt == 0) facts.heard[DaemonId(host.name)] = host.keeper->self().incarnation;
   facts.known = view.known(now);
-  facts.met = view.hasMet(now);
+  facts.fleetDiscovered = view.discoveryComplete(now);
   facts.usageComplete = view.usageComplete(now);
   facts.usage = view.usageElsewhere(now);
   addUsage(facts.usage, host.usage);
   facts.wallClock = view.clock().at(now);
-  facts.named = host.keeper->holder();
-  for (const FleetReport* report : view.reports(now)) facts.named.learn(report->duties);
+  facts.reportedHolder = host.keeper->holder();
+  for (const FleetReport* report : view.reports(now))
+    facts.reportedHolder.mergeNewer(report->duties);
   return facts;
 }
 
 void DutyFleet::keep(Host& host, int ms) {
   if (host.endsAt != 0) {
-    if (host.keeper->holds()) release(host, ms);
+    if (host.keeper->holdsDuties()) release(host, ms);
     return;
   }
   const DutyStep step = host.keeper->next(facts(host, ms), at(ms));
--- a/test/DutyFleet.h
+++ b/test/DutyFleet.h
@@ -81,7 +81,7 @@
     std::string name;
     int domain = 0;
     std::unique_ptr<FleetView> view;
-    std::unique_ptr<DutyKeeper> keeper;
+    std::unique_ptr<DutyStateMachine> keeper;
     UsageByWindow usage;
     int backAt = 0;
     /// When it ends, while it is leaving.
--- a/test/DutyTest.cpp
+++ b/test/DutyTest.cpp
@@ -71,7 +71,7 @@
                    }},
         step);
   }
-  DutyKeeper& keeper() { return keeper_; }
+  DutyStateMachine& keeper() { return keeper_; }
   const std::string& name() const { return name_; }
   std::uint64_t incarnation() const { return incarnation_; }
 
@@ -94,7 +94,7 @@
 
   std::string name_;
   std::uint64_t incarnation_;
-  DutyKeeper keeper_;
+  DutyStateMachine keeper_;
 };
 
 DutyFacts factsAt(int ms, const std::vector<std::pair<std::string, std::uint64_t>>& heard) {
@@ -165,8 +165,8 @@
       a.turn(world, facts, ms);
       b.turn(world, facts, ms);
     }
-    CPPUNIT_ASSERT(a.keeper().holds());
-    CPPUNIT_ASSERT(!b.keeper().holds());
+    CPPUNIT_ASSERT(a.keeper().holdsDuties());
+    CPPUNIT_ASSERT(!b.keeper().holdsDuties());
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{1}, world.highestEpoch);
     for (std::int64_t window = 200; window <= 202; ++window) {
       CPPUNIT_ASSERT_EQUAL(static_cast<std::uint64_t>(window), world.reports.at(window).at(kOrg));
@@ -180,7 +180,7 @@
     int taken = 0;
     for (int ms = 0; ms <= 10'000 && taken == 0; ms += 100) {
       b.turn(world, factsAt(ms, {{"b", 1}}), ms);
-      if (b.keeper().holds()) taken = ms;
+      if (b.keeper().holdsDuties()) taken = ms;
     }
     CPPUNIT_ASSERT(taken >= 3'000 && taken <= 5'000);
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{6}, world.stored->record.holder.epoch);
@@ -192,7 +192,7 @@
     Daemon a("a", 2);
     a.turn(world, factsAt(0, {{"a", 2}, {"b", 1}}), 0);
     a.turn(world, factsAt(100, {{"a", 2}, {"b", 1}}), 100);
-    CPPUNIT_ASSERT(a.keeper().holds());
+    CPPUNIT_ASSERT(a.keeper().holdsDuties());
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{6}, world.stored->record.holder.epoch);
   }
 
@@ -200,20 +200,20 @@
     World world;
     Daemon a("a", 1);
     for (int ms = 0; ms < 1'000; ms += 100) a.turn(world, factsAt(ms, {{"a", 1}}), ms);
-    CPPUNIT_ASSERT(a.keeper().holds());
+    CPPUNIT_ASSERT(a.keeper().holdsDuties());
     // Another took over while this one slept.
     world.put({{DaemonId("b"), 1, 2}, {}, 0}, world.stored->revision);
     a.turn(world, factsAt(12'000, {{"a", 1}, {"b", 1}}), 12'000);
-    CPPUNIT_ASSERT(!a.keeper().holds());
+    CPPUNIT_ASSERT(!a.keeper().holdsDuties());
     CPPUNIT_ASSERT(world.reports.empty());
     // Or it hears of the other first.
     Daemon c("c", 1);
     World other;
     for (int ms = 0; ms < 1'000; ms += 100) c.turn(other, factsAt(ms, {{"c", 1}}), ms);
     DutyFacts facts = factsAt(2'000, {{"c", 1}, {"d", 1}});
-    facts.named = {DaemonId("d"), 1, 9};
+    facts.reportedHolder = {DaemonId("d"), 1, 9};
     c.turn(other, facts, 2'000);
-    CPPUNIT_ASSERT(!c.keeper().holds());
+    CPPUNIT_ASSERT(!c.keeper().holdsDuties());
   }
 
   void aLostWriteIsReadAgain() {
@@ -222,10 +222,10 @@
     const auto facts = [](int ms) { return factsAt(ms, {{"a", 1}}); };
     a.turn(world, facts(0), 0);
     a.turn(world, facts(100), 100, Spoilt::lostAfter);
-    CPPUNIT_ASSERT(!a.keeper().holds());
+    CPPUNIT_ASSERT(!a.keeper().holdsDuties());
     a.turn(world, facts(1'000), 1'000);
     a.turn(world, facts(1'100), 1'100);
-    CPPUNIT_ASSERT(a.keeper().holds());
+    CPPUNIT_ASSERT(a.keeper().holdsDuties());
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{1}, world.stored->record.holder.epoch);
   }
 
@@ -235,10 +235,10 @@
     Daemon a("a", 1);
     Daemon b("b", 1);
     for (int ms = 0; ms < 1'000; ms += 100) b.turn(world, factsAt(ms, {{"b", 1}}), ms);
-    CPPUNIT_ASSERT(b.keeper().holds());
+    CPPUNIT_ASSERT(b.keeper().holdsDuties());
     for (int ms = 1'000; ms <= 30'000; ms += 100) {
       DutyFacts facts = factsAt(ms, {{"a", 1}, {"b", 1}});
-      facts.named = {DaemonId("b"), 1, 1};
+      facts.reportedHolder = {DaemonId("b"), 1, 1};
       // The write that fixes the first window is done, and its answer lost.
       const bool spoil = ms >= 7'400 && ms <= 7'700;
       b.turn(world, facts, ms, spoil ? Spoilt::lostAfter : Spoilt::no);
--- a/test/FleetQuotaTest.cpp
+++ b/test/FleetQuotaTest.cpp
@@ -159,7 +159,7 @@
   void deliver(const Sent& sent, int ms) {
     Host& host = *hosts_[sent.to];
     const FleetUpdate news = host.view.receive(sent.report, at(ms));
-    for (const auto& [name, amount] : news.spentMore) {
+    for (const auto& [name, amount] : news.newlySpent) {
       host.ledger.noteSpentElsewhere(name, amount, at(ms));
     }
   }
--- a/test/FleetRelayTest.cpp
+++ b/test/FleetRelayTest.cpp
@@ -141,37 +141,38 @@
       std::uint64_t expected;
     };
     const std::vector<Row> rows{
-        {"its own word", [&](FleetUsage& u) { u.noteOwnWord(near, counted(3)); }, 3},
+        {"its own word", [&](FleetUsage& u) { u.noteSelfReport(near, counted(3)); }, 3},
         {"its own word and another's",
          [&](FleetUsage& u) {
-           u.noteOwnWord(near, counted(3));
-           u.noteHearsay(word(near, 2));
+           u.noteSelfReport(near, counted(3));
+           u.noteIncarnation(word(near, 2));
          },
          3},
         {"another's newer word",
          [&](FleetUsage& u) {
-           u.noteOwnWord(near, counted(3));
-           u.noteHearsay(word(near, 4));
+           u.noteSelfReport(near, counted(3));
+           u.noteIncarnation(word(near, 4));
          },
          4},
         {"two incarnations",
          [&](FleetUsage& u) {
-           u.noteHearsay(word(near, 3));
-           u.noteOwnWord(again, counted(2));
+           u.noteIncarnation(word(near, 3));
+           u.noteSelfReport(again, counted(2));
          },
          5},
-        {"what it told itself comes back", [&](FleetUsage& u) { u.noteHearsay(word(self, 9)); }, 0},
+        {"what it told itself comes back", [&](FleetUsage& u) { u.noteIncarnation(word(self, 9)); },
+         0},
         {"an earlier incarnation of its own",
          [&](FleetUsage& u) {
            FleetMember before = self;
            before.incarnation = 0;
-           u.noteHearsay(word(before, 9));
+           u.noteIncarnation(word(before, 9));
          },
          9},
         {"a domain's sum and one of its daemons",
          [&](FleetUsage& u) {
            u.noteDomainSums(DomainName("d1"), counted(10));
-           u.noteHearsay(word(far, 4));
+           u.noteIncarnation(word(far, 4));
          },
          10},
         {"a new relay's sum is lower",
@@ -184,7 +185,7 @@
          [&](FleetUsage& u) { u.noteDomainSums(DomainName("d0"), counted(10)); }, 0},
         {"a fleet's sum holds what was heard directly",
          [&](FleetUsage& u) {
-           u.noteOwnWord(near, counted(3));
+           u.noteSelfReport(near, counted(3));
            u.noteFleetSums(counted(20));
            u.noteFleetSums(counted(2));
          },
@@ -197,7 +198,7 @@
       // Daemons whose clocks differ tell each other of windows that one has dropped.
       usage.forgetBefore(kWindow + 1);
       usage.forgetBefore(kWindow + 2);
-      usage.noteHearsay(word(far, 4));
+      usage.noteIncarnation(word(far, 4));
       CPPUNIT_ASSERT_EQUAL_MESSAGE(row.story, std::uint64_t{0}, countOf(usage.elsewhere()));
     }
   }
--- a/test/FleetScaleTest.cpp
+++ b/test/FleetScaleTest.cpp
@@ -81,7 +81,7 @@
     for (int d = 1; d < kDomains; ++d) {
       relay.receive(reportOf(d, 0, ReportScope::domain, number), at(ms + 60 + d));
     }
-    return relay.compose(reportOf(0, 0, ReportScope::everybody, number), at(ms + 100));
+    return relay.compose(reportOf(0, 0, ReportScope::broadcast, number), at(ms + 100));
   }
 
  public:
--- a/test/FleetTest.cpp
+++ b/test/FleetTest.cpp
@@ -61,21 +61,21 @@
     FleetReport report = reportOf("a", 1);
     report.spent[kOrg] = 10;
     // What was spent before it was first heard of is in nobody's debt.
-    CPPUNIT_ASSERT(view.receive(report, at(0)).spentMore.empty());
+    CPPUNIT_ASSERT(view.receive(report, at(0)).newlySpent.empty());
     report.spent[kOrg] = 25;
-    CPPUNIT_ASSERT_EQUAL(15.0, view.receive(report, at(1)).spentMore.at(kOrg));
-    CPPUNIT_ASSERT(view.receive(report, at(2)).spentMore.empty());
+    CPPUNIT_ASSERT_EQUAL(15.0, view.receive(report, at(1)).newlySpent.at(kOrg));
+    CPPUNIT_ASSERT(view.receive(report, at(2)).newlySpent.empty());
     // While it was out of reach its part of the rate was left to it.
     report.spent[kOrg] = 100;
-    CPPUNIT_ASSERT(view.receive(report, at(5'000)).spentMore.empty());
+    CPPUNIT_ASSERT(view.receive(report, at(5'000)).newlySpent.empty());
     report.spent[kOrg] = 101;
-    CPPUNIT_ASSERT_EQUAL(1.0, view.receive(report, at(5'200)).spentMore.at(kOrg));
+    CPPUNIT_ASSERT_EQUAL(1.0, view.receive(report, at(5'200)).newlySpent.at(kOrg));
     // A new life counts from nothing.
     report.self.incarnation = 2;
     report.spent[kOrg] = 5;
     const FleetUpdate news = view.receive(report, at(5'400));
     CPPUNIT_ASSERT(news.newIncarnation);
-    CPPUNIT_ASSERT_EQUAL(5.0, news.spentMore.at(kOrg));
+    CPPUNIT_ASSERT_EQUAL(5.0, news.newlySpent.at(kOrg));
   }
 
   void heardAndKnownByTime() {
@@ -86,8 +86,8 @@
     view.receive(reportOf("a", 1), at(2'000));
     CPPUNIT_ASSERT_EQUAL(std::size_t{2}, view.heard(at(2'000)));
     CPPUNIT_ASSERT_EQUAL(std::size_t{3}, view.known(at(2'000)));
-    CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, view.heardIncarnation(DaemonId("b"), at(2'000)));
-    CPPUNIT_ASSERT_EQUAL(std::uint64_t{1}, view.heardIncarnation(DaemonId("a"), at(2'000)));
+    CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, view.liveIncarnation(DaemonId("b"), at(2'000)));
+    CPPUNIT_ASSERT_EQUAL(std::uint64_t{1}, view.liveIncarnation(DaemonId("a"), at(2'000)));
     FleetReport leaving = reportOf("a", 1);
     leaving.leaving = true;
     view.receive(leaving, at(2'100));
@@ -185,8 +185,8 @@
     view.receive(reportOf("a", 2), at(0));
     FleetReport old = reportOf("a", 1);
     old.spent[kOrg] = 10;
-    CPPUNIT_ASSERT(view.receive(old, at(1)).spentMore.empty());
-    CPPUNIT_ASSERT_EQUAL(std::uint64_t{2}, view.heardIncarnation(DaemonId("a"), at(1)));
+    CPPUNIT_ASSERT(view.receive(old, at(1)).newlySpent.empty());
+    CPPUNIT_ASSERT_EQUAL(std::uint64_t{2}, view.liveIncarnation(DaemonId("a"), at(1)));
   }
 
   void tellsLeavesOnce() {
@@ -270,8 +270,8 @@
       messages = sent.size();
       for (auto& [receiver, report] : sent) {
         const FleetUpdate news = receiver->view.receive(report, at(ms));
-        const auto more = news.spentMore.find(kOrg);
-        if (more != news.spentMore.end()) receiver->toldElsewhere += more->second;
+        const auto more = news.newlySpent.find(kOrg);
+        if (more != news.newlySpent.end()) receiver->toldElsewhere += more->second;
       }
     };
     int ms = 0;
@@ -292,7 +292,7 @@
     check(60, 0);
     // Two of each domain watch the store for all.
     std::size_t followers = 0;
-    for (const auto& host : hosts) followers += host->view.followsStore(at(ms)) ? 1 : 0;
+    for (const auto& host : hosts) followers += host->view.watchesStore(at(ms)) ? 1 : 0;
     CPPUNIT_ASSERT_EQUAL(std::size_t{6}, followers);
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{59}, hosts[40]->view.usageElsewhere(at(ms)).at(7).at(kOrg));
     // Each spends ten: every other daemon hears of all of it once.
@@ -303,7 +303,7 @@
     hosts[0]->down = true;
     for (int end = ms + 4'000; ms <= end; ms += 200) period(ms);
     CPPUNIT_ASSERT(hosts[3]->view.isRelay(at(ms)));
-    CPPUNIT_ASSERT(hosts[3]->view.followsStore(at(ms)) && hosts[6]->view.followsStore(at(ms)));
+    CPPUNIT_ASSERT(hosts[3]->view.watchesStore(at(ms)) && hosts[6]->view.watchesStore(at(ms)));
     check(59, 590);
     for (const auto& host : hosts) host->own.spent[kOrg] += 10;
     for (int end = ms + 1'000; ms <= end; ms += 200) period(ms);
@@ -334,16 +334,16 @@
   }
 
   void theAgeOfTheStoresWordPassesOn() {
-    StoreNews news(at(0));
+    StoreFreshness news(at(0));
     const StoreState alone;
     // Nobody was heard yet: a start tells nothing of the store.
-    CPPUNIT_ASSERT(news.age(alone, at(100)) >= kNeverHeard);
+    CPPUNIT_ASSERT(news.age(alone, at(100)) >= kUnknownAge);
     FleetReport report = reportOf("a", 1);
     report.storeAge = Millis(300);
     news.noteReport(report, {}, at(1'000));
     CPPUNIT_ASSERT(Millis(500) == news.age(alone, at(1'200)));
-    CPPUNIT_ASSERT(!news.mayBeOld(alone, at(1'200)));
-    CPPUNIT_ASSERT(news.mayBeOld(alone, at(2'000)));
+    CPPUNIT_ASSERT(!news.mayBeStale(alone, at(1'200)));
+    CPPUNIT_ASSERT(news.mayBeStale(alone, at(2'000)));
     // An older word changes nothing.
     report.storeAge = Millis(5'000);
     news.noteReport(report, {}, at(1'300));
@@ -354,17 +354,17 @@
   /// A daemon that starts reads lists that may be seconds old. A key or route that it lacks gets
   /// 503 until it knows that nobody has newer settings: 401 and 404 are final for callers.
   void settingsBehindAPeersMayBeOld() {
-    StoreNews news(at(0));
+    StoreFreshness news(at(0));
     const StoreState own{3, 10, false};
-    CPPUNIT_ASSERT(news.mayBeOld(own, at(100)));
+    CPPUNIT_ASSERT(news.mayBeStale(own, at(100)));
     FleetReport report = reportOf("a", 1);
     report.storeAge = Millis(0);
     report.settingsVersion = 4;
     news.noteReport(report, {}, at(200));
-    CPPUNIT_ASSERT(news.mayBeOld(own, at(300)));
-    CPPUNIT_ASSERT(!news.mayBeOld({4, 10, false}, at(300)));
+    CPPUNIT_ASSERT(news.mayBeStale(own, at(300)));
+    CPPUNIT_ASSERT(!news.mayBeStale({4, 10, false}, at(300)));
     // Its own watch may be a moment behind a peer's.
-    CPPUNIT_ASSERT(news.mayBeOld({3, 10, true}, at(300)));
+    CPPUNIT_ASSERT(news.mayBeStale({3, 10, true}, at(300)));
   }
 
   /// Incarnations are starts by the wall clock. A daemon that starts again after its host's clock
@@ -380,19 +380,19 @@
     after.spent[kOrg] = 5;
     // A word of the process before may come late.
     view.receive(after, at(300));
-    CPPUNIT_ASSERT_EQUAL(std::uint64_t{9'000}, view.heardIncarnation(DaemonId("a"), at(400)));
+    CPPUNIT_ASSERT_EQUAL(std::uint64_t{9'000}, view.liveIncarnation(DaemonId("a"), at(400)));
     const FleetUpdate news = view.receive(after, at(1'500));
     CPPUNIT_ASSERT(news.newIncarnation);
-    CPPUNIT_ASSERT_EQUAL(std::uint64_t{2'000}, view.heardIncarnation(DaemonId("a"), at(1'600)));
+    CPPUNIT_ASSERT_EQUAL(std::uint64_t{2'000}, view.liveIncarnation(DaemonId("a"), at(1'600)));
     CPPUNIT_ASSERT_EQUAL(std::size_t{2}, view.heard(at(1'600)));
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{5}, view.usageElsewhere(at(1'600)).at(7).at(kOrg));
     after.spent[kOrg] = 8;
-    CPPUNIT_ASSERT_EQUAL(3.0, view.receive(after, at(1'700)).spentMore.at(kOrg));
+    CPPUNIT_ASSERT_EQUAL(3.0, view.receive(after, at(1'700)).newlySpent.at(kOrg));
     // Hearsay of the one before doesn't bring it back while the new one is heard.
     FleetReport hearsay = reportOf("b", 1);
     hearsay.members = {{DaemonId("a"), "a:1", 9'000, DomainName("d"), 100}};
     view.receive(hearsay, at(1'750));
-    CPPUNIT_ASSERT_EQUAL(std::uint64_t{2'000}, view.heardIncarnation(DaemonId("a"), at(1'800)));
+    CPPUNIT_ASSERT_EQUAL(std::uint64_t{2'000}, view.liveIncarnation(DaemonId("a"), at(1'800)));
   }
 
   void whoWatchesTheStore() {
@@ -414,7 +414,7 @@
         {false, {1, 1, true}, 100, 3'000, FollowMode::probing},
     };
     for (const Row& row : rows) {
-      StoreNews news(at(0));
+      StoreFreshness news(at(0));
       FleetReport report = reportOf("a", 1);
       report.storeAge = Millis(0);
       if (row.reportedAt >= 0) news.noteReport(report, {}, at(row.reportedAt));
@@ -430,18 +430,18 @@
     ahead.settingsVersion = 3;
     ahead.upstreamsVersion = 12;
     const std::vector<const FleetReport*> peers{&behind, &ahead};
-    StoreNews news(at(0));
-    CPPUNIT_ASSERT(!news.peerToAsk({3, 12, false}, peers, at(1'000)));
-    CPPUNIT_ASSERT(std::string("b:1") == news.peerToAsk({3, 10, false}, peers, at(1'200)));
+    StoreFreshness news(at(0));
+    CPPUNIT_ASSERT(!news.snapshotPeer({3, 12, false}, peers, at(1'000)));
+    CPPUNIT_ASSERT(std::string("b:1") == news.snapshotPeer({3, 10, false}, peers, at(1'200)));
     // Not again at once.
-    CPPUNIT_ASSERT(!news.peerToAsk({3, 10, false}, peers, at(1'400)));
-    CPPUNIT_ASSERT(news.peerToAsk({3, 10, false}, peers, at(1'700)).has_value());
+    CPPUNIT_ASSERT(!news.snapshotPeer({3, 10, false}, peers, at(1'400)));
+    CPPUNIT_ASSERT(news.snapshotPeer({3, 10, false}, peers, at(1'700)).has_value());
     // One that watches itself hears the same in a moment, unless its watch hangs.
-    StoreNews watcher(at(0));
-    CPPUNIT_ASSERT(!watcher.peerToAsk({3, 10, true}, peers, at(1'000)));
-    CPPUNIT_ASSERT(!watcher.peerToAsk({3, 11, true}, peers, at(1'500)));
-    CPPUNIT_ASSERT(!watcher.peerToAsk({3, 11, true}, peers, at(2'000)));
-    CPPUNIT_ASSERT(watcher.peerToAsk({3, 11, true}, peers, at(2'100)).has_value());
+    StoreFreshness watcher(at(0));
+    CPPUNIT_ASSERT(!watcher.snapshotPeer({3, 10, true}, peers, at(1'000)));
+    CPPUNIT_ASSERT(!watcher.snapshotPeer({3, 11, true}, peers, at(1'500)));
+    CPPUNIT_ASSERT(!watcher.snapshotPeer({3, 11, true}, peers, at(2'000)));
+    CPPUNIT_ASSERT(watcher.snapshotPeer({3, 11, true}, peers, at(2'100)).has_value());
   }
 
   void entriesThatLapsedInAnOutageAreKeptAWhile() {
@@ -455,11 +455,11 @@
     const std::vector<UpstreamRecord> before{ready, leaving};
     LapsedUpstreams lapsed;
     CPPUNIT_ASSERT(lapsed.merge({fresh}, before, at(0)) == std::vector<UpstreamRecord>{fresh});
-    lapsed.noteReturn(at(0));
+    lapsed.noteStoreRecovery(at(0));
     const std::vector<UpstreamRecord> kept{fresh, ready};
     CPPUNIT_ASSERT(lapsed.merge({fresh}, before, at(100)) == kept);
     CPPUNIT_ASSERT(lapsed.merge(kept, before, at(100)) == kept);
-    const int over = static_cast<int>(LapsedUpstreams::kBackWithin.count());
+    const int over = static_cast<int>(LapsedUpstreams::kReregistrationTime.count());
     CPPUNIT_ASSERT(lapsed.merge({fresh}, before, at(over)) == std::vector<UpstreamRecord>{fresh});
   }
 };
--- a/test/PeerTransportTest.cpp
+++ b/test/PeerTransportTest.cpp
@@ -141,7 +141,7 @@
     GrantRequestMessage message;
     message.shard = {ServiceName("s"), DomainName("d"), 3};
     message.wanted.prefixHashes = {1, 2, 3};
-    message.wanted.avoid = {UpstreamId("u")};
+    message.wanted.failedUpstreams = {UpstreamId("u")};
     message.remaining = Millis(250);
     const std::string bytes = pack(message);
     const auto read = unpack<GrantRequestMessage>(bytes);
--- a/test/UpstreamCopyTest.cpp
+++ b/test/UpstreamCopyTest.cpp
@@ -9,7 +9,7 @@
 #include <vector>
 
 #include "Hallchute/src/Fleet/FleetReport.h"
-#include "Hallchute/src/Fleet/StoreNews.h"
+#include "Hallchute/src/Fleet/StoreFreshness.h"
 
 namespace {
 
@@ -19,7 +19,7 @@
   return Instant{} + std::chrono::hours(1) + Millis(ms);
 }
 
-constexpr int kOver = static_cast<int>(LapsedUpstreams::kBackWithin.count());
+constexpr int kOver = static_cast<int>(LapsedUpstreams::kReregistrationTime.count());
 
 std::vector<UpstreamRecord> listOf(const std::vector<std::string>& names) {
   std::vector<UpstreamRecord> list;
@@ -53,18 +53,18 @@
     const auto all = listOf({"left", "stays"});
     const auto rest = listOf({"stays"});
     UpstreamCopy cutOff;
-    cutOff.take(all, 10, at(0));
+    cutOff.update(all, 10, at(0));
     UpstreamCopy inContact;
-    inContact.take(all, cutOff.version(), at(0));
+    inContact.update(all, cutOff.version(), at(0));
     UpstreamCopy watches;
-    watches.take(rest, 11, at(1'000));
-    inContact.take(watches.listed(), watches.version(), at(1'200));
+    watches.update(rest, 11, at(1'000));
+    inContact.update(watches.listed(), watches.version(), at(1'200));
     CPPUNIT_ASSERT(rest == inContact.upstreams());
 
-    CPPUNIT_ASSERT(cutOff.noteReturn(at(4'000)));
-    cutOff.take(listOf({"stays", "new"}), 12, at(4'100));
+    CPPUNIT_ASSERT(cutOff.noteStoreRecovery(at(4'000)));
+    cutOff.update(listOf({"stays", "new"}), 12, at(4'100));
     CPPUNIT_ASSERT(listOf({"stays", "new", "left"}) == cutOff.upstreams());
-    inContact.take(cutOff.listed(), cutOff.version(), at(4'400));
+    inContact.update(cutOff.listed(), cutOff.version(), at(4'400));
     CPPUNIT_ASSERT(listOf({"stays", "new"}) == inContact.upstreams());
 
     CPPUNIT_ASSERT(cutOff.dropLapsed(at(4'000 + kOver)));
@@ -74,24 +74,24 @@
   void entriesThatLapsedInAnOutageAreHeldByEachDaemon() {
     const auto all = listOf({"lives", "stays"});
     UpstreamCopy watches;
-    watches.take(all, 10, at(0));
+    watches.update(all, 10, at(0));
     UpstreamCopy told;
-    told.take(watches.listed(), watches.version(), at(200));
-    watches.noteReturn(at(9'000));
-    watches.take(listOf({"stays"}), 12, at(9'100));
-    told.noteReturn(at(9'300));
-    told.take(watches.listed(), watches.version(), at(9'400));
+    told.update(watches.listed(), watches.version(), at(200));
+    watches.noteStoreRecovery(at(9'000));
+    watches.update(listOf({"stays"}), 12, at(9'100));
+    told.noteStoreRecovery(at(9'300));
+    told.update(watches.listed(), watches.version(), at(9'400));
     const auto held = listOf({"stays", "lives"});
     CPPUNIT_ASSERT(held == watches.upstreams());
     CPPUNIT_ASSERT(held == told.upstreams());
     // Of two outages the later one decides.
-    told.noteReturn(at(10'000));
+    told.noteStoreRecovery(at(10'000));
     CPPUNIT_ASSERT(!told.dropLapsed(at(9'300 + kOver)));
     CPPUNIT_ASSERT(held == told.upstreams());
     CPPUNIT_ASSERT(told.dropLapsed(at(10'000 + kOver)));
     CPPUNIT_ASSERT(listOf({"stays"}) == told.upstreams());
     // Entries that came back in time are simply there.
-    watches.take(held, 13, at(10'100));
+    watches.update(held, 13, at(10'100));
     CPPUNIT_ASSERT(!watches.dropLapsed(at(9'000 + kOver)));
     CPPUNIT_ASSERT(held == watches.upstreams());
   }
@@ -110,7 +110,7 @@
     };
     const std::vector<Row> rows{
         {"peers were not answered", false, 3'000, Millis(2'900), 3'200, Millis(100), true},
-        {"peers have just started", false, 3'000, kNeverHeard + Millis(80), 3'200, Millis(100),
+        {"peers have just started", false, 3'000, kUnknownAge + Millis(80), 3'200, Millis(100),
          false},
         {"peers pause after their start", false, 3'000, Millis(1'900), 3'200, Millis(100), false},
         {"peers are silent", false, 100, Millis(50), 3'200, Millis(100), false},
@@ -119,7 +119,7 @@
         {"their word of it is long past", false, 2'000, Millis(1'900), 9'000, Millis(0), false},
     };
     for (const Row& row : rows) {
-      StoreNews news(at(0));
+      StoreFreshness news(at(0));
       const StoreState own{1, 1, row.inContact};
       news.noteReport(reportOfAge(Millis(0)), own, at(100));
       CPPUNIT_ASSERT_MESSAGE(row.name,
@@ -131,15 +131,15 @@
 
   void onlyANewerListIsTaken() {
     UpstreamCopy copy;
-    CPPUNIT_ASSERT(!copy.noteReturn(at(0)));
-    CPPUNIT_ASSERT(copy.take(listOf({"a"}), 5, at(0)));
+    CPPUNIT_ASSERT(!copy.noteStoreRecovery(at(0)));
+    CPPUNIT_ASSERT(copy.update(listOf({"a"}), 5, at(0)));
     const std::uint64_t version = copy.version();
-    CPPUNIT_ASSERT(!copy.take(listOf({"b"}), version, at(0)));
-    CPPUNIT_ASSERT(!copy.take(listOf({"b"}), 4, at(0)));
+    CPPUNIT_ASSERT(!copy.update(listOf({"b"}), version, at(0)));
+    CPPUNIT_ASSERT(!copy.update(listOf({"b"}), 4, at(0)));
     // One that says the same is no news for peers either.
-    CPPUNIT_ASSERT(!copy.take(listOf({"a"}), 6, at(0)));
+    CPPUNIT_ASSERT(!copy.update(listOf({"a"}), 6, at(0)));
     CPPUNIT_ASSERT_EQUAL(version, copy.version());
-    CPPUNIT_ASSERT(copy.take(listOf({"b"}), 7, at(0)));
+    CPPUNIT_ASSERT(copy.update(listOf({"b"}), 7, at(0)));
     CPPUNIT_ASSERT(copy.version() > version);
     CPPUNIT_ASSERT(listOf({"b"}) == copy.upstreams());
   }
