--- a/Hallchute/src/Daemon/OperatorHandler.cpp
+++ b/Hallchute/src/Daemon/OperatorHandler.cpp
@@ -67,7 +67,7 @@
   std::string text = "{\"changes\":[";
   const char* separator = "";
   for (const SettingsChange& change : changes) {
-    text += separator + changeText(change);
+    text += separator + serializeChange(change);
     separator = ",";
   }
   return text + "]}";
@@ -131,25 +131,25 @@
 }
 
 OperatorHandler::Reply OperatorHandler::settings() const {
-  const auto inForce = services_.settings.get();
+  const auto activeSettings = services_.settings.get();
   JsonObject json = newObject();
-  json->set("revision", inForce->revision);
-  json->set("settings", inForce->json);
+  json->set("revision", activeSettings->revision);
+  json->set("settings", activeSettings->json);
   return {200, "application/json", jsonText(json)};
 }
 
 OperatorHandler::Reply OperatorHandler::explain(const Poco::URI& uri) const {
-  const auto key = policyKeyNamed(queryParameter(uri, "key", ""));
+  const auto key = findPolicyKey(queryParameter(uri, "key", ""));
   if (!key) return {404, "application/json", messageJson("key names no policy number")};
   const PolicyScope scope{DomainName(queryParameter(uri, "domain", services_.startup.domain.str())),
                           ServiceName(queryParameter(uri, "service", "")),
                           OrganisationName(queryParameter(uri, "organisation", ""))};
-  const auto inForce = services_.settings.get();
-  const PolicyAnswer answer = inForce->tree.explain(*key, scope);
+  const auto activeSettings = services_.settings.get();
+  const ResolvedPolicy answer = activeSettings->tree.explain(*key, scope);
   JsonObject json = newObject();
   json->set("value", answer.value);
   json->set("level", answer.level);
-  json->set("revision", inForce->revision);
+  json->set("revision", activeSettings->revision);
   return {200, "application/json", jsonText(json)};
 }
 
@@ -187,7 +187,7 @@
   return std::visit(
       Overloaded{
           [](const ProposalAccepted& accepted) -> Reply {
-            return {200, "application/json", changeText(accepted.change)};
+            return {200, "application/json", serializeChange(accepted.change)};
           },
           [](const ProposalEmpty&) -> Reply {
             return {200, "application/json", messageJson("it changes nothing")};
@@ -196,7 +196,7 @@
             return {422, "application/json", jsonText(findingsJson(invalid.findings))};
           },
           [](const ProposalConflict& conflict) -> Reply {
-            return {409, "application/json", changeText(conflict.winner)};
+            return {409, "application/json", serializeChange(conflict.winner)};
           },
           [](const ProposalUnavailable& unavailable) -> Reply {
             return {503, "application/json", messageJson("not accepted: " + unavailable.detail)};
--- a/Hallchute/src/Daemon/SettingsEditor.cpp
+++ b/Hallchute/src/Daemon/SettingsEditor.cpp
@@ -48,9 +48,9 @@
 }
 
 std::variant<std::uint64_t, ProposalUnavailable> SettingsEditor::loadLatest(JsonObject& json) {
-  const auto inForce = settings_.get();
-  std::uint64_t revision = inForce->revision;
-  json = inForce->json ? inForce->json : JsonObject(new Poco::JSON::Object);
+  const auto activeSettings = settings_.get();
+  std::uint64_t revision = activeSettings->revision;
+  json = activeSettings->json ? activeSettings->json : JsonObject(new Poco::JSON::Object);
   for (;;) {
     const auto reply = history(revision, kPageSize);
     const auto* done = std::get_if<Done<std::vector<SettingsChange>>>(&reply);
@@ -99,7 +99,7 @@
   const std::string key = changeKey(change.number);
   bool maybeWritten = false;
   for (int attempt = 0; attempt < kMaxAttempts; ++attempt) {
-    const auto reply = platform_.write(key, changeText(change), 0);
+    const auto reply = platform_.write(key, serializeChange(change), 0);
     if (std::holds_alternative<Done<std::uint64_t>>(reply)) {
       onChange_(change);
       return ProposalAccepted{change};
--- a/Hallchute/src/Daemon/ShardOwners.cpp
+++ b/Hallchute/src/Daemon/ShardOwners.cpp
@@ -25,10 +25,10 @@
 ShardOwners::~ShardOwners() = default;
 
 ShardPolicy ShardOwners::policyOf(const ShardKey& shard) const {
-  const auto inForce = settings_.get();
+  const auto activeSettings = settings_.get();
   const PolicyScope scope{shard.domain, shard.service, OrganisationName()};
   const auto number = [&](PolicyKey key) {
-    return static_cast<std::size_t>(inForce->tree.policy(key, scope));
+    return static_cast<std::size_t>(activeSettings->tree.policy(key, scope));
   };
   ShardPolicy policy;
   policy.maxQueue = number(PolicyKey::maxQueue);
--- a/Hallchute/src/Daemon/StartupFile.cpp
+++ b/Hallchute/src/Daemon/StartupFile.cpp
@@ -49,7 +49,7 @@
     file.peerAdvertise = addressMember(reader, "advertise", false);
     if (file.peerAdvertise.empty()) file.peerAdvertise = file.peerListen;
     file.peerSecret = reader.text("secret", true);
-    file.seeds = reader.texts("seeds");
+    file.seeds = reader.stringList("seeds");
   });
   root.object("platform", [&](JsonReader& reader) {
     file.platformAddress = addressMember(reader, "address", true);
--- a/Hallchute/src/Front/FrontConnection.cpp
+++ b/Hallchute/src/Front/FrontConnection.cpp
@@ -34,7 +34,7 @@
 FrontConnection::FrontConnection(FrontServer& server, std::uint64_t id,
                                  const Poco::Net::StreamSocket& socket)
     : server_(server), id_(id), channel_(server.loop(), socket, *this), reader_(makeReader()) {
-  setTimer(server_.limits().idleTime, kNoResponse);
+  setTimer(server_.limits().idleTimeout, kNoResponse);
 }
 
 FrontConnection::~FrontConnection() {
@@ -43,7 +43,7 @@
 
 HttpReader FrontConnection::makeReader() const {
   const FrontLimits& limits = server_.limits();
-  return {HttpSide::requests, {limits.headBytes, limits.bodyBytes}};
+  return {HttpMessageType::requests, {limits.headBytes, limits.bodyBytes}};
 }
 
 void FrontConnection::stopTimer() {
@@ -73,7 +73,7 @@
   server_.remove(id_);
 }
 
-void FrontConnection::channelBytes(std::string_view bytes) {
+void FrontConnection::onChannelBytes(std::string_view bytes) {
   if (phase_ == Phase::closing) return;
   receiveBuffer_.append(bytes);
   if (phase_ != Phase::responding) {
@@ -83,7 +83,7 @@
   }
 }
 
-void FrontConnection::channelEnded(ChannelEnd) {
+void FrontConnection::onChannelEnded(ChannelEnd) {
   notifyCallerDisconnected();
   remove();
 }
@@ -96,7 +96,7 @@
   while (!receiveBuffer_.empty() && (phase_ == Phase::idle || phase_ == Phase::reading)) {
     if (phase_ == Phase::idle) {
       phase_ = Phase::reading;
-      setTimer(server_.limits().headTime, kRequestTimeout);
+      setTimer(server_.limits().headTimeout, kRequestTimeout);
     }
     const HttpProgress progress = reader_.read(receiveBuffer_);
     handleProgress(progress);
@@ -109,7 +109,7 @@
   switch (progress) {
     case HttpProgress::needsMore:
       if (!reader_.hasHead()) return;
-      setTimer(server_.limits().headTime, kRequestTimeout);
+      setTimer(server_.limits().headTimeout, kRequestTimeout);
       if (!continueSent_ && reader_.head().fields.hasToken("Expect", "100-continue")) {
         continueSent_ = true;
         channel_.send(kContinue);
@@ -156,14 +156,14 @@
                                           : ConnectionPersistence::close;
 }
 
-void FrontConnection::answer(int status, const HttpFields& fields, std::string_view body) {
+void FrontConnection::respond(int status, const HttpFields& fields, std::string_view body) {
   const ConnectionPersistence persistence = connectionPersistence();
   reusable_ = persistence == ConnectionPersistence::keep;
   channel_.send(responseBytes(status, fields, body, persistence, !isHeadRequest_));
   finishResponse();
 }
 
-void FrontConnection::startPieces(int status, const HttpFields& fields) {
+void FrontConnection::startStream(int status, const HttpFields& fields) {
   // HTTP/1.0 has no chunked encoding: closing the connection ends the body.
   const ConnectionPersistence persistence =
       chunked_ ? connectionPersistence() : ConnectionPersistence::close;
@@ -178,7 +178,7 @@
   channel_.send(head);
 }
 
-void FrontConnection::sendPiece(std::string_view bytes) {
+void FrontConnection::sendStreamData(std::string_view bytes) {
   if (bytes.empty()) return;
   channel_.send(chunked_ ? chunkBytes(bytes) : std::string(bytes));
   if (channel_.unsent() <= kMaxUnsentBytes) return;
@@ -197,15 +197,15 @@
   const auto exchange = std::exchange(exchange_, nullptr);
   if (exchange == nullptr) return;
   exchange->connection_ = nullptr;
-  if (exchange->onCallerLeft) exchange->onCallerLeft();
+  if (exchange->onCallerDisconnected) exchange->onCallerDisconnected();
 }
 
-void FrontConnection::endPieces() {
+void FrontConnection::endStream() {
   if (chunked_) channel_.send(kLastChunk);
   finishResponse();
 }
 
-void FrontConnection::breakOff() {
+void FrontConnection::abortResponse() {
   exchange_ = nullptr;
   reusable_ = false;
   // Without the last chunk the caller detects the truncation, and the bytes sent are still
@@ -228,7 +228,7 @@
   phase_ = Phase::idle;
   continueSent_ = false;
   reader_ = makeReader();
-  setTimer(server_.limits().idleTime, kNoResponse);
+  setTimer(server_.limits().idleTimeout, kNoResponse);
   readRequests();
 }
 
--- a/Hallchute/src/Front/FrontExchange.h
+++ b/Hallchute/src/Front/FrontExchange.h
@@ -21,35 +21,35 @@
 /// After the caller has disconnected, all calls that send are ignored.
 class FrontExchange {
  public:
-  FrontExchange(FrontConnection& connection, HttpHead head, std::string body, Instant arrived);
+  FrontExchange(FrontConnection& connection, HttpHead head, std::string body, Instant receivedAt);
   FrontExchange(const FrontExchange&) = delete;
   FrontExchange& operator=(const FrontExchange&) = delete;
 
   const HttpHead& head() const { return head_; }
   const std::string& body() const { return body_; }
   /// \brief When the request was completely received.
-  Instant arrived() const { return arrived_; }
+  Instant receivedAt() const { return receivedAt_; }
 
   /// \brief Sends a complete response.
-  void answer(int status, const HttpFields& fields, std::string_view body);
+  void respond(int status, const HttpFields& fields, std::string_view body);
   /// \brief Sends the head of a response whose body is streamed.
-  void startPieces(int status, const HttpFields& fields);
-  void sendPiece(std::string_view bytes);
+  void startStream(int status, const HttpFields& fields);
+  void sendStreamData(std::string_view bytes);
   /// \brief Ends a streamed response as complete.
-  void endPieces();
+  void endStream();
   /// \brief Ends the connection in a way that shows the caller that the response is incomplete.
-  void breakOff();
+  void abortResponse();
 
-  bool callerLeft() const { return connection_ == nullptr; }
+  bool callerDisconnected() const { return connection_ == nullptr; }
   /// \brief Called immediately when the caller disconnects before the response has ended.
-  std::function<void()> onCallerLeft;
+  std::function<void()> onCallerDisconnected;
 
  private:
   friend class FrontConnection;
 
   HttpHead head_;
   std::string body_;
-  Instant arrived_;
+  Instant receivedAt_;
   /// Null after the response has ended or the caller has disconnected.
   FrontConnection* connection_;
 };
--- a/Hallchute/src/Http/HttpReader.cpp
+++ b/Hallchute/src/Http/HttpReader.cpp
@@ -49,7 +49,7 @@
   void on_header_impl(Error& error) override {
     error = {};
     head.keepAlive = this->keep_alive();
-    head.endsWithConnection = !isRequest && this->need_eof();
+    head.bodyEndsAtClose = !isRequest && this->need_eof();
     // Beast accepts other transfer codings, but the end of their bodies would be ambiguous.
     const bool hasTransferEncoding = head.fields.has("Transfer-Encoding");
     const bool hasBothLengths = hasTransferEncoding && head.fields.has("Content-Length");
@@ -89,8 +89,8 @@
     return std::visit(visitor, parser_);
   }
 
-  Parser(HttpSide messageType, HttpReaderLimits limits) {
-    if (messageType == HttpSide::answers) parser_.emplace<CollectingParser<false>>();
+  Parser(HttpMessageType messageType, HttpReaderLimits limits) {
+    if (messageType == HttpMessageType::responses) parser_.emplace<CollectingParser<false>>();
     visit([&](auto& parser) {
       parser.eager(true);
       parser.header_limit(limits.headBytes);
@@ -128,7 +128,7 @@
   std::variant<CollectingParser<true>, CollectingParser<false>> parser_;
 };
 
-HttpReader::HttpReader(HttpSide messageType, HttpReaderLimits limits)
+HttpReader::HttpReader(HttpMessageType messageType, HttpReaderLimits limits)
     : parser_(std::make_unique<Parser>(messageType, limits)) {}
 HttpReader::~HttpReader() = default;
 HttpReader::HttpReader(HttpReader&&) noexcept = default;
--- a/Hallchute/src/Http/HttpReader.h
+++ b/Hallchute/src/Http/HttpReader.h
@@ -28,7 +28,7 @@
   /// Whether the sender keeps the connection open after this message.
   bool keepAlive = false;
   /// Whether the body is delimited by the end of the connection.
-  bool endsWithConnection = false;
+  bool bodyEndsAtClose = false;
 };
 
 /// \brief The state of a reader after the bytes it was given.
@@ -44,7 +44,7 @@
 
 /// \brief Whether a reader parses requests or responses.
 /// \ingroup Http
-enum class HttpSide { requests, answers };
+enum class HttpMessageType { requests, responses };
 
 /// \brief Limits of a message. \ingroup Http
 struct HttpReaderLimits {
@@ -61,7 +61,7 @@
 /// message are left in the buffer.
 class HttpReader {
  public:
-  HttpReader(HttpSide messageType, HttpReaderLimits limits);
+  HttpReader(HttpMessageType messageType, HttpReaderLimits limits);
   ~HttpReader();
   HttpReader(HttpReader&&) noexcept;
   HttpReader& operator=(HttpReader&&) noexcept;
--- a/Hallchute/src/Http/TcpChannel.cpp
+++ b/Hallchute/src/Http/TcpChannel.cpp
@@ -92,7 +92,7 @@
   return sendBuffer_.size() + static_cast<std::size_t>(unacknowledgedInKernel);
 }
 
-bool TcpChannel::quiet() const {
+bool TcpChannel::isOpenAndIdle() const {
   if (ended_ || connecting_) return false;
   char byte = 0;
   const ssize_t received = ::recv(fd_, &byte, 1, MSG_PEEK | MSG_DONTWAIT);
@@ -114,7 +114,7 @@
   ended_ = true;
   loop_.cancel(connectTimer_);
   if (fd_ >= 0) loop_.unwatch(fd_);
-  owner_.channelEnded(end);
+  owner_.onChannelEnded(end);
 }
 
 void TcpChannel::onEvents(short events) {
@@ -146,11 +146,11 @@
   static thread_local std::array<char, kReceiveBufferBytes> buffer;
   const ssize_t received = ::recv(fd_, buffer.data(), buffer.size(), MSG_DONTWAIT);
   if (received > 0) {
-    owner_.channelBytes({buffer.data(), static_cast<std::size_t>(received)});
+    owner_.onChannelBytes({buffer.data(), static_cast<std::size_t>(received)});
     return;
   }
   if (received == 0) {
-    reportEnd(ChannelEnd::finished);
+    reportEnd(ChannelEnd::peerClosed);
     return;
   }
   if (errno != EAGAIN && errno != EWOULDBLOCK && errno != EINTR) reportEnd(ChannelEnd::broken);
--- a/Hallchute/src/Http/TcpChannel.h
+++ b/Hallchute/src/Http/TcpChannel.h
@@ -24,7 +24,7 @@
   /// The connection was never established: no byte was sent.
   notConnected,
   /// The peer closed its sending side (FIN).
-  finished,
+  peerClosed,
   /// The connection was reset or timed out.
   broken,
 };
@@ -38,9 +38,9 @@
   TcpChannelOwner& operator=(const TcpChannelOwner&) = delete;
   virtual ~TcpChannelOwner() = default;
 
-  virtual void channelBytes(std::string_view bytes) = 0;
+  virtual void onChannelBytes(std::string_view bytes) = 0;
   /// \brief Called once, as the last callback.
-  virtual void channelEnded(ChannelEnd end) = 0;
+  virtual void onChannelEnded(ChannelEnd end) = 0;
   /// \brief The kernel has accepted all bytes passed to send().
   virtual void onChannelDrained() {}
 };
@@ -78,7 +78,7 @@
   /// doesn't report this, only the bytes that this host's kernel has not accepted yet.
   std::size_t unacknowledged() const;
   /// \brief Whether the connection is open and has no unread input; peeks at the socket.
-  bool quiet() const;
+  bool isOpenAndIdle() const;
   /// \brief Resets the connection at once; no callback follows. Unsent bytes are discarded: after a
   /// plain close the kernel would still deliver them when a network partition heals.
   void abort();
--- a/Hallchute/src/Settings/ChangeLog.cpp
+++ b/Hallchute/src/Settings/ChangeLog.cpp
@@ -8,9 +8,9 @@
 
 constexpr std::size_t kMaxRecentChanges = 128;
 
-std::shared_ptr<const SettingsInForce> makeActiveSettings(std::uint64_t revision,
-                                                          const JsonObject& json) {
-  auto settings = std::make_shared<SettingsInForce>();
+std::shared_ptr<const ActiveSettings> makeActiveSettings(std::uint64_t revision,
+                                                         const JsonObject& json) {
+  auto settings = std::make_shared<ActiveSettings>();
   Findings findings;
   settings->revision = revision;
   settings->json = json;
@@ -22,7 +22,7 @@
 
 ChangeLog::ChangeLog() : active_(makeActiveSettings(0, new Poco::JSON::Object)) {}
 
-bool ChangeLog::startFrom(std::uint64_t revision, const JsonObject& json) {
+bool ChangeLog::loadSnapshot(std::uint64_t revision, const JsonObject& json) {
   if (revision <= active_->revision) return false;
   active_ = makeActiveSettings(revision, json);
   pending_.erase(pending_.begin(), pending_.upper_bound(revision));
--- a/Hallchute/src/Settings/ChangeLog.h
+++ b/Hallchute/src/Settings/ChangeLog.h
@@ -15,7 +15,7 @@
 
 /// \brief The active settings at one revision; shared and immutable.
 /// \ingroup Settings
-struct SettingsInForce {
+struct ActiveSettings {
   std::uint64_t revision = 0;
   JsonObject json;
   SettingsTree tree;
@@ -34,11 +34,11 @@
   ChangeLog();
   /// \brief Replaces the settings by a snapshot, unless it is no newer than the active revision.
   /// \returns whether the snapshot was applied.
-  bool startFrom(std::uint64_t revision, const JsonObject& json);
+  bool loadSnapshot(std::uint64_t revision, const JsonObject& json);
   /// \brief Adds one change and applies all changes that follow the active revision without a gap.
   /// \returns whether the active revision increased.
   bool add(SettingsChange change);
-  const std::shared_ptr<const SettingsInForce>& inForce() const { return active_; }
+  const std::shared_ptr<const ActiveSettings>& activeSettings() const { return active_; }
   std::uint64_t revision() const { return active_->revision; }
   /// \brief At most \p maxCount changes after \p revision, oldest first; empty if the first of them
   /// is no longer retained.
@@ -47,7 +47,7 @@
  private:
   bool applyNext();
 
-  std::shared_ptr<const SettingsInForce> active_;
+  std::shared_ptr<const ActiveSettings> active_;
   std::map<std::uint64_t, SettingsChange> pending_;
   /// The changes applied last, retained for peers that lag behind.
   std::map<std::uint64_t, SettingsChange> recent_;
--- a/Hallchute/src/Settings/JsonReader.cpp
+++ b/Hallchute/src/Settings/JsonReader.cpp
@@ -86,7 +86,7 @@
   return std::string(allowed.front());
 }
 
-std::vector<std::string> JsonReader::texts(const std::string& name) {
+std::vector<std::string> JsonReader::stringList(const std::string& name) {
   std::vector<std::string> found;
   const Poco::Dynamic::Var value = readMember(name);
   if (value.isEmpty()) return found;
--- a/Hallchute/src/Settings/JsonTree.cpp
+++ b/Hallchute/src/Settings/JsonTree.cpp
@@ -107,7 +107,7 @@
   return {};
 }
 
-std::string withoutBrokenText(std::string_view text) {
+std::string replaceInvalidUtf8(std::string_view text) {
   std::string result(text);
   std::size_t i = 0;
   while (i < result.size()) {
--- a/Hallchute/src/Settings/JsonTree.h
+++ b/Hallchute/src/Settings/JsonTree.h
@@ -27,7 +27,7 @@
 /// \brief \p text with each byte outside a valid UTF-8 sequence replaced by a question mark, so
 /// that one member with invalid bytes doesn't make the whole document unparseable. \ingroup
 /// Settings
-std::string withoutBrokenText(std::string_view text);
+std::string replaceInvalidUtf8(std::string_view text);
 
 /// \brief Serialises \p value on one line, with the keys in alphabetical order.
 /// \ingroup Settings
--- a/Hallchute/src/Settings/SettingsTree.h
+++ b/Hallchute/src/Settings/SettingsTree.h
@@ -27,7 +27,7 @@
 
 /// \brief A resolved policy value and the level of the tree that set it.
 /// \ingroup Settings
-struct PolicyAnswer {
+struct ResolvedPolicy {
   std::int64_t value = 0;
   /// `default`, `fleet`, `failureDomains/NAME`, `services/NAME` or `organisations/NAME`.
   std::string level;
@@ -43,7 +43,7 @@
   std::map<OrganisationName, Organisation> organisations;
 
   /// \brief Resolves a policy value: the most specific level that sets it wins, else the default.
-  PolicyAnswer explain(PolicyKey key, const PolicyScope& scope) const;
+  ResolvedPolicy explain(PolicyKey key, const PolicyScope& scope) const;
   std::int64_t policy(PolicyKey key, const PolicyScope& scope) const;
   /// \brief The organisation to which the bearer token \p token belongs, or null. Constant time:
   /// the running time depends on lengths only.
