--- a/test/FleetDiscoveryTest.cpp
+++ b/test/FleetDiscoveryTest.cpp
@@ -1,12 +1,12 @@
 // This file is part of hallchute, a serving system for language models.
 // SPDX-License-Identifier: Apache-2.0
 
-// Seeds name daemons of three failure domains; the relays of the other domains find each other by
-// what those tell. A relay named the daemons of its own domain and, to each receiver, the
-// receiver's relay, but no third one: two relays without seeds that missed each other's first
-// reports never met. On the large site 62 of 295 daemons then counted for nobody in a domain for
-// all of the day (`fleet.heard` with 233 of 295 on all daemons of two domains), and those domains'
-// first daemons took the duties from each other (epochs 1 to 7 in 45 s, seven duties missed).
+// The seeds are daemons of three failure domains; the relays of the other domains must discover
+// each other from the member lists in reports. When a relay listed only its own domain's daemons
+// and the receiver's relay, two relays of domains without seeds that missed each other's first
+// reports never discovered each other. In a fleet of 295, two domains then permanently counted only
+// 233 live daemons (`fleet.heard`), and their first-ranked daemons kept taking the duties from each
+// other (epochs 1 to 7 in 45 s, seven duties missed).
 
 #include <cppunit/extensions/HelperMacros.h>
 
@@ -22,17 +22,17 @@
 
 using namespace Hallchute;
 
-constexpr int kPeriod = 200;
+constexpr int kReportPeriodMs = 200;
 constexpr int kDomains = 5;
 constexpr int kDaemons = 60;
-/// The domains from this one on have no seeds.
+/// Domains with this or a higher index have no seeds.
 constexpr int kFirstWithoutSeeds = 3;
 
 Instant at(int ms) {
   return Instant(std::chrono::hours(1)) + Millis(ms);
 }
 
-/// A fleet of five domains; the reports of a period arrive at once.
+/// A fleet of five domains; the reports of a period are delivered immediately.
 class SeededFleet {
  public:
   SeededFleet() {
@@ -48,29 +48,31 @@
     }
   }
 
-  /// Until \p cutMs nothing passes between the domains without seeds; one of them starts late.
-  void run(int toMs, int cutMs, int lateMs) {
-    for (int ms = 0; ms <= toMs; ms += kPeriod) {
+  /// Until \p cutEndMs no report passes between the domains without seeds; the last domain starts
+  /// at \p lateStartMs.
+  void run(int toMs, int cutEndMs, int lateStartMs) {
+    for (int ms = 0; ms <= toMs; ms += kReportPeriodMs) {
       std::vector<std::pair<int, AddressedReport>> sent;
       for (const auto& [address, host] : hosts_) {
-        if (host.domain == kDomains - 1 && ms < lateMs) continue;
+        if (host.domain == kDomains - 1 && ms < lateStartMs) continue;
         for (AddressedReport& report : host.view->compose({}, at(ms))) {
           sent.emplace_back(host.domain, std::move(report));
         }
       }
       for (const auto& [from, report] : sent) {
         const Host& to = hosts_.at(report.address);
-        const bool late = to.domain == kDomains - 1 && ms < lateMs;
+        const bool late = to.domain == kDomains - 1 && ms < lateStartMs;
         const bool cut = from != to.domain && from >= kFirstWithoutSeeds &&
-                         to.domain >= kFirstWithoutSeeds && ms < cutMs;
+                         to.domain >= kFirstWithoutSeeds && ms < cutEndMs;
         if (!late && !cut) to.view->receive(report.report, at(ms));
       }
     }
   }
-  std::size_t leastHeard(int ms) const {
-    std::size_t least = kDaemons;
-    for (const auto& [address, host] : hosts_) least = std::min(least, host.view->heard(at(ms)));
-    return least;
+  std::size_t minLiveCount(int ms) const {
+    std::size_t minimum = kDaemons;
+    for (const auto& [address, host] : hosts_)
+      minimum = std::min(minimum, host.view->heard(at(ms)));
+    return minimum;
   }
 
  private:
@@ -83,25 +85,25 @@
 
 class FleetDiscoveryTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(FleetDiscoveryTest);
-  CPPUNIT_TEST(domainsWithoutSeedsFindEachOther);
+  CPPUNIT_TEST(domainsWithoutSeedsDiscoverEachOther);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void domainsWithoutSeedsFindEachOther() {
+  void domainsWithoutSeedsDiscoverEachOther() {
     struct Row {
-      std::string story;
-      int cutMs;
-      int lateMs;
+      std::string label;
+      int cutEndMs;
+      int lateStartMs;
     };
-    const std::vector<Row> rows{{"all start together", 0, 0},
+    const std::vector<Row> rows{{"all start simultaneously", 0, 0},
                                 {"one domain starts late", 0, 2'000},
-                                {"their first reports to each other are lost", 1'600, 0},
-                                {"a cut between them heals after a minute", 65'000, 0}};
+                                {"the first reports between them are lost", 1'600, 0},
+                                {"a partition between them heals after a minute", 65'000, 0}};
     for (const Row& row : rows) {
       SeededFleet fleet;
-      const int end = row.cutMs + row.lateMs + 4'000;
-      fleet.run(end, row.cutMs, row.lateMs);
-      CPPUNIT_ASSERT_EQUAL_MESSAGE(row.story, std::size_t{kDaemons}, fleet.leastHeard(end));
+      const int end = row.cutEndMs + row.lateStartMs + 4'000;
+      fleet.run(end, row.cutEndMs, row.lateStartMs);
+      CPPUNIT_ASSERT_EQUAL_MESSAGE(row.label, std::size_t{kDaemons}, fleet.minLiveCount(end));
     }
   }
 };
--- a/test/FleetQuotaTest.cpp
+++ b/test/FleetQuotaTest.cpp
@@ -20,50 +20,52 @@
 using namespace Hallchute;
 
 const Instant kStart = Instant(std::chrono::hours(1));
-constexpr int kStep = 10;
-constexpr int kReportPeriod = 200;
-/// A report waits for its sender's and its receiver's processor, a tenth of a second on slow hosts.
-constexpr int kOnTheWay = 60;
-/// What a request counts, and the quota: as on a fleet of 77 with sixteen organisations.
-constexpr double kAmount = 4'000;
-constexpr double kRate = 385'000;
-constexpr int kWindow = 8'000;
+constexpr int kStepMs = 10;
+constexpr int kReportPeriodMs = 200;
+/// A report waits for CPU time at its sender and its receiver, up to 100 ms on slow hosts.
+constexpr int kReportDelayMs = 60;
+/// Tokens of a request, and quota in tokens a second: as in a fleet of 77 daemons with sixteen
+/// organisations.
+constexpr double kRequestTokens = 4'000;
+constexpr double kTokensPerSecond = 385'000;
+constexpr int kWindowMs = 8'000;
 
-constexpr std::uint64_t kFirstLife = 1'000'000;
-const QuotaTolerance kTolerance{0.1, 72'000, Millis(kWindow)};
+constexpr std::uint64_t kFirstIncarnation = 1'000'000;
+const QuotaTolerance kTolerance{0.1, 72'000, Millis(kWindowMs)};
 
 Instant at(int ms) {
   return kStart + Millis(ms);
 }
 
-/// Daemons in three domains that spend one organisation's quota and tell each other.
+/// Daemons in three domains that share one organisation's quota and report their spending to each
+/// other.
 class SpendingFleet {
  public:
-  explicit SpendingFleet(double rate = kRate, int daemons = 77) : daemons_(daemons) {
+  explicit SpendingFleet(double rate = kTokensPerSecond, int daemons = 77) : daemons_(daemons) {
     organisation_.name = OrganisationName("org");
     organisation_.rate = rate;
     organisation_.burst = rate;
     start(0);
   }
 
-  /// Every daemon's process starts, or starts again.
+  /// Starts or restarts all daemons.
   void start(int ms) {
     hosts_.clear();
-    sent_.clear();
+    inFlight_.clear();
     for (int i = 0; i < daemons_; ++i) {
       const std::string name = "d" + std::to_string(i % 3) + "-" + std::to_string(100 + i);
-      const FleetMember member{DaemonId(name), name + ":1", kFirstLife + ms,
+      const FleetMember member{DaemonId(name), name + ":1", kFirstIncarnation + ms,
                                DomainName("d" + std::to_string(i % 3)), i < 6 ? 500U : 120U};
       hosts_.push_back(std::make_unique<Host>(member, at(ms)));
       byAddress_[member.address] = i;
       hosts_.back()->ledger.setOrganisations(std::vector{organisation_}, at(ms));
     }
     const std::vector<std::string> seeds{"d0-100:1", "d1-101:1", "d2-102:1"};
-    const std::span met(seeds.data(), std::min<std::size_t>(seeds.size(), hosts_.size()));
-    for (const auto& host : hosts_) host->view.addAddresses(met);
+    const std::span usedSeeds(seeds.data(), std::min<std::size_t>(seeds.size(), hosts_.size()));
+    for (const auto& host : hosts_) host->view.addAddresses(usedSeeds);
   }
-  /// Every daemon's process starts again, and reads in the store how many there were.
-  void startKnowingItsSize(int ms) {
+  /// Restarts all daemons; each reads the earlier size of the fleet from the store.
+  void startWithKnownSize(int ms) {
     start(ms);
     for (const auto& host : hosts_) {
       host->view.noteEarlierSize(hosts_.size());
@@ -71,34 +73,34 @@
     }
   }
 
-  /// Whether \p from reaches \p to at a moment.
+  /// Whether reports from \p from reach \p to at time \p ms.
   std::function<bool(int from, int to, int ms)> reaches = [](int, int, int) { return true; };
 
-  /// \param demand what callers ask for, in parts of the rate.
+  /// \param demand requested amount per second, as a fraction of the rate.
   void run(int fromMs, int toMs, double demand) {
-    for (int ms = fromMs; ms < toMs; ms += kStep) {
-      ask(ms, demand);
+    for (int ms = fromMs; ms < toMs; ms += kStepMs) {
+      generateRequests(ms, demand);
       for (int i = 0; i < daemons_; ++i) {
-        // Daemons started together: they report at about the same moments.
-        if ((ms + 10 * (i % 4)) % kReportPeriod == 0) report(i, ms);
+        // Daemons that started together report at about the same times.
+        if ((ms + 10 * (i % 4)) % kReportPeriodMs == 0) report(i, ms);
       }
-      while (!sent_.empty() && sent_.front().ms + kOnTheWay <= ms) {
-        deliver(sent_.front(), ms);
-        sent_.pop_front();
+      while (!inFlight_.empty() && inFlight_.front().ms + kReportDelayMs <= ms) {
+        deliver(inFlight_.front(), ms);
+        inFlight_.pop_front();
       }
     }
   }
-  /// The most that was admitted in a window, in parts of the rate.
-  double worstWindow(int fromMs) const {
-    double worst = 0;
+  /// Maximum amount admitted in a window, as a multiple of the rate per second.
+  double maxAdmittedPerWindow(int fromMs) const {
+    double maxAdmitted = 0;
     double sum = 0;
     std::size_t first = 0;
     for (const auto& [ms, amount] : admitted_) {
       sum += amount;
-      while (admitted_[first].first <= ms - kWindow) sum -= admitted_[first++].second;
-      if (ms - kWindow >= fromMs) worst = std::max(worst, sum);
+      while (admitted_[first].first <= ms - kWindowMs) sum -= admitted_[first++].second;
+      if (ms - kWindowMs >= fromMs) maxAdmitted = std::max(maxAdmitted, sum);
     }
-    return worst / organisation_.rate;
+    return maxAdmitted / organisation_.rate;
   }
   double admittedIn(int fromMs, int toMs) const {
     double sum = 0;
@@ -115,34 +117,34 @@
     FleetView view;
     QuotaLedger ledger;
   };
-  struct Sent {
+  struct SentReport {
     int ms = 0;
     int from = 0;
     int to = 0;
     FleetReport report;
   };
 
-  void ask(int ms, double demand) {
-    owed_ += demand * organisation_.rate * kStep / 1'000;
-    while (owed_ >= kAmount) {
-      owed_ -= kAmount;
+  void generateRequests(int ms, double demand) {
+    pendingDemand_ += demand * organisation_.rate * kStepMs / 1'000;
+    while (pendingDemand_ >= kRequestTokens) {
+      pendingDemand_ -= kRequestTokens;
       attempt(ms, true);
     }
-    while (!returning_.empty() && returning_.begin()->first <= ms) {
-      returning_.erase(returning_.begin());
+    while (!retries_.empty() && retries_.begin()->first <= ms) {
+      retries_.erase(retries_.begin());
       attempt(ms, false);
     }
   }
-  /// \param first callers that are refused come back once, when they are told to.
-  void attempt(int ms, bool first) {
-    next_ = next_ * 1'103'515'245U + 12'345U;
-    const auto i = static_cast<std::size_t>(next_ >> 16U) % hosts_.size();
-    const double draw = static_cast<double>(next_ >> 8U) / (1U << 24U);
-    const auto wait = hosts_[i]->ledger.take(organisation_, kAmount, at(ms), draw);
+  /// \param firstAttempt whether a rejected request is retried, once, after the retry delay.
+  void attempt(int ms, bool firstAttempt) {
+    randomState_ = randomState_ * 1'103'515'245U + 12'345U;
+    const auto i = static_cast<std::size_t>(randomState_ >> 16U) % hosts_.size();
+    const double draw = static_cast<double>(randomState_ >> 8U) / (1U << 24U);
+    const auto wait = hosts_[i]->ledger.take(organisation_, kRequestTokens, at(ms), draw);
     if (!wait) {
-      admitted_.emplace_back(ms, kAmount);
-    } else if (first) {
-      returning_.emplace(ms + static_cast<int>(wait->retryDelay.count()), 0);
+      admitted_.emplace_back(ms, kRequestTokens);
+    } else if (firstAttempt) {
+      retries_.emplace(ms + static_cast<int>(wait->retryDelay.count()), 0);
     }
   }
   void report(int i, int ms) {
@@ -152,14 +154,14 @@
     own.spent = host.ledger.spent();
     for (AddressedReport& report : host.view.compose(own, now)) {
       const int to = byAddress_.at(report.address);
-      if (reaches(i, to, ms)) sent_.push_back({ms, i, to, std::move(report.report)});
+      if (reaches(i, to, ms)) inFlight_.push_back({ms, i, to, std::move(report.report)});
     }
     host.ledger.setFleet(host.view.quotaFleet(now), now);
   }
-  void deliver(const Sent& sent, int ms) {
+  void deliver(const SentReport& sent, int ms) {
     Host& host = *hosts_[sent.to];
-    const FleetUpdate news = host.view.receive(sent.report, at(ms));
-    for (const auto& [name, amount] : news.newlySpent) {
+    const FleetUpdate update = host.view.receive(sent.report, at(ms));
+    for (const auto& [name, amount] : update.newlySpent) {
       host.ledger.noteSpentElsewhere(name, amount, at(ms));
     }
   }
@@ -168,132 +170,133 @@
   GatewayOrganisation organisation_;
   std::vector<std::unique_ptr<Host>> hosts_;
   std::map<std::string, int> byAddress_;
-  std::deque<Sent> sent_;
+  std::deque<SentReport> inFlight_;
   std::vector<std::pair<int, double>> admitted_;
-  std::multimap<int, int> returning_;
-  double owed_ = 0;
-  std::uint32_t next_ = 7;
+  std::multimap<int, int> retries_;
+  double pendingDemand_ = 0;
+  std::uint32_t randomState_ = 7;
 };
 
 class FleetQuotaTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(FleetQuotaTest);
-  CPPUNIT_TEST(aWholeFleetKeepsTheQuota);
-  CPPUNIT_TEST(aFleetInPartsKeepsTheQuota);
-  CPPUNIT_TEST(whatComesBackIntoReachIsNotSpentAnew);
+  CPPUNIT_TEST(aConnectedFleetKeepsTheQuota);
+  CPPUNIT_TEST(aPartitionedFleetKeepsTheQuota);
+  CPPUNIT_TEST(spendingIsNotDeductedAgainAfterAPartition);
   CPPUNIT_TEST(aSmallOrganisationIsServed);
-  CPPUNIT_TEST(aFleetThatRestartsKeepsTheQuota);
-  CPPUNIT_TEST(aFleetThatKnowsItsSizeServesAtOnce);
-  CPPUNIT_TEST(aFleetThatKnowsItsSizeKeepsTheQuota);
+  CPPUNIT_TEST(aRestartedFleetKeepsTheQuota);
+  CPPUNIT_TEST(aRestartedFleetOfKnownSizeServesAtOnce);
+  CPPUNIT_TEST(aRestartedFleetOfKnownSizeKeepsTheQuota);
   CPPUNIT_TEST_SUITE_END();
 
-  /// Rate over the window, burst, a tenth, and the fixed tolerance of 72,000 tokens.
-  const double allowed_ = 9 * (1 + kTolerance.fraction) + kTolerance.slack / kRate;
+  /// Rate over the window plus burst, 10 % tolerance and the constant tolerance of 72,000 tokens.
+  const double allowed_ = 9 * (1 + kTolerance.fraction) + kTolerance.slack / kTokensPerSecond;
 
-  /// All daemons end twice within a window while callers ask for two and a half times the quota.
-  static void restartTwice(SpendingFleet& fleet, void (SpendingFleet::*startAll)(int ms)) {
+  /// Restarts all daemons twice within a window at a demand of 2.5 times the quota.
+  static void restartTwice(SpendingFleet& fleet, void (SpendingFleet::*restartAll)(int ms)) {
     fleet.run(0, 12'000, 0.5);
     fleet.run(12'000, 13'000, 2.5);
     for (const int ms : {13'000, 17'000}) {
-      (fleet.*startAll)(ms);
+      (fleet.*restartAll)(ms);
       fleet.run(ms, ms + 4'000, 2.5);
     }
     fleet.run(21'000, 30'000, 2.5);
   }
 
  public:
-  void aWholeFleetKeepsTheQuota() {
+  void aConnectedFleetKeepsTheQuota() {
     SpendingFleet fleet;
     fleet.run(0, 14'000, 0.5);
     fleet.run(14'000, 30'000, 3.3);
-    const double worst = fleet.worstWindow(6'000);
-    CPPUNIT_ASSERT_MESSAGE(std::to_string(worst), worst <= allowed_);
-    // Nobody is refused while the fleet asks for half of it.
+    const double maxAdmitted = fleet.maxAdmittedPerWindow(6'000);
+    CPPUNIT_ASSERT_MESSAGE(std::to_string(maxAdmitted), maxAdmitted <= allowed_);
+    // No request is rejected at a demand of half the quota.
     CPPUNIT_ASSERT_MESSAGE(std::to_string(fleet.admittedIn(6'000, 14'000)),
                            fleet.admittedIn(6'000, 14'000) >= 0.99 * 0.5 * 8);
-    // And what it allows is given.
-    const double given = fleet.admittedIn(20'000, 30'000);
-    CPPUNIT_ASSERT_MESSAGE(std::to_string(given), given >= 9);
+    // The full quota is admitted under overload.
+    const double admitted = fleet.admittedIn(20'000, 30'000);
+    CPPUNIT_ASSERT_MESSAGE(std::to_string(admitted), admitted >= 9);
   }
 
-  /// Its burst is a few requests, and the fixed tolerance many times that.
+  /// Its burst is a few requests, and the constant tolerance many times that.
   void aSmallOrganisationIsServed() {
     SpendingFleet fleet(18'000);
     fleet.run(0, 60'000, 0.5);
-    const double given = fleet.admittedIn(10'000, 60'000);
-    CPPUNIT_ASSERT_MESSAGE(std::to_string(given), given >= 0.97 * 0.5 * 50);
+    const double admitted = fleet.admittedIn(10'000, 60'000);
+    CPPUNIT_ASSERT_MESSAGE(std::to_string(admitted), admitted >= 0.97 * 0.5 * 50);
   }
 
-  void aFleetThatRestartsKeepsTheQuota() {
+  void aRestartedFleetKeepsTheQuota() {
     SpendingFleet fleet;
     restartTwice(fleet, &SpendingFleet::start);
-    const double worst = fleet.worstWindow(6'000);
-    CPPUNIT_ASSERT_MESSAGE(std::to_string(worst), worst <= allowed_);
-    const double given = fleet.admittedIn(22'000, 30'000);
-    CPPUNIT_ASSERT_MESSAGE(std::to_string(given), given >= 7);
+    const double maxAdmitted = fleet.maxAdmittedPerWindow(6'000);
+    CPPUNIT_ASSERT_MESSAGE(std::to_string(maxAdmitted), maxAdmitted <= allowed_);
+    const double admitted = fleet.admittedIn(22'000, 30'000);
+    CPPUNIT_ASSERT_MESSAGE(std::to_string(admitted), admitted >= 7);
   }
 
-  /// Seven daemons end together; callers ask for what they usually do.
-  void aFleetThatKnowsItsSizeServesAtOnce() {
-    SpendingFleet fleet(kRate, 7);
+  /// Seven daemons restart simultaneously at normal demand.
+  void aRestartedFleetOfKnownSizeServesAtOnce() {
+    SpendingFleet fleet(kTokensPerSecond, 7);
     fleet.run(0, 12'000, 0.55);
-    fleet.startKnowingItsSize(13'500);
+    fleet.startWithKnownSize(13'500);
     fleet.run(13'500, 18'000, 0.55);
-    const double given = fleet.admittedIn(13'500, 14'700);
-    CPPUNIT_ASSERT_MESSAGE(std::to_string(given), given >= 0.97 * 0.55 * 1.2);
+    const double admitted = fleet.admittedIn(13'500, 14'700);
+    CPPUNIT_ASSERT_MESSAGE(std::to_string(admitted), admitted >= 0.97 * 0.55 * 1.2);
   }
 
-  /// In fleets of several sizes, without a pause between their end and start.
-  void aFleetThatKnowsItsSizeKeepsTheQuota() {
+  /// Fleets of several sizes; the daemons restart without downtime.
+  void aRestartedFleetOfKnownSizeKeepsTheQuota() {
     for (const int daemons : {1, 2, 3, 5, 7, 9, 12, 13, 20, 40, 77}) {
-      SpendingFleet fleet(kRate, daemons);
-      restartTwice(fleet, &SpendingFleet::startKnowingItsSize);
-      const double worst = fleet.worstWindow(6'000);
-      const std::string told = std::to_string(daemons) + ": " + std::to_string(worst);
-      CPPUNIT_ASSERT_MESSAGE(told, worst <= allowed_);
+      SpendingFleet fleet(kTokensPerSecond, daemons);
+      restartTwice(fleet, &SpendingFleet::startWithKnownSize);
+      const double maxAdmitted = fleet.maxAdmittedPerWindow(6'000);
+      const std::string message = std::to_string(daemons) + ": " + std::to_string(maxAdmitted);
+      CPPUNIT_ASSERT_MESSAGE(message, maxAdmitted <= allowed_);
     }
   }
 
-  /// A third of the daemons can't reach the others, but each other; then all meet again.
-  void aFleetInPartsKeepsTheQuota() {
+  /// A third of the daemons is partitioned from the others, then the partition heals.
+  void aPartitionedFleetKeepsTheQuota() {
     SpendingFleet fleet;
     fleet.reaches = [](int from, int to, int ms) {
-      const bool apart = ms >= 15'000 && ms < 27'000;
-      return !apart || (from % 20 < 7) == (to % 20 < 7);
+      const bool isolated = ms >= 15'000 && ms < 27'000;
+      return !isolated || (from % 20 < 7) == (to % 20 < 7);
     };
     fleet.run(0, 18'000, 0.5);
     fleet.run(18'000, 40'000, 3.3);
-    const double worst = fleet.worstWindow(6'000);
-    CPPUNIT_ASSERT_MESSAGE(std::to_string(worst), worst <= allowed_);
-    const double given = fleet.admittedIn(30'000, 40'000);
-    CPPUNIT_ASSERT_MESSAGE(std::to_string(given), given >= 8.5);
+    const double maxAdmitted = fleet.maxAdmittedPerWindow(6'000);
+    CPPUNIT_ASSERT_MESSAGE(std::to_string(maxAdmitted), maxAdmitted <= allowed_);
+    const double admitted = fleet.admittedIn(30'000, 40'000);
+    CPPUNIT_ASSERT_MESSAGE(std::to_string(admitted), admitted >= 8.5);
   }
 
-  /// Callers ask for half of the quota all the time. Daemons fall silent and are heard again: what
-  /// they spent before that must not be taken off the buckets once more.
-  void whatComesBackIntoReachIsNotSpentAnew() {
+  /// Constant demand of half the quota. Daemons become unreachable and reachable again: what they
+  /// spent before must not be deducted from the buckets a second time.
+  void spendingIsNotDeductedAgainAfterAPartition() {
     struct Row {
       std::string name;
-      std::function<bool(int daemon)> apart;
-      int ms;
+      std::function<bool(int daemon)> isolated;
+      int durationMs;
     };
     const std::vector<Row> rows{
-        {"a domain that is cut off", [](int daemon) { return daemon % 3 == 2; }, 5'000},
-        {"a relay that is cut off", [](int daemon) { return daemon == 2; }, 5'000},
-        {"a relay that is silent for a moment", [](int daemon) { return daemon == 2; }, 1'600},
+        {"a domain is cut off", [](int daemon) { return daemon % 3 == 2; }, 5'000},
+        {"a relay is cut off", [](int daemon) { return daemon == 2; }, 5'000},
+        {"a relay is cut off briefly", [](int daemon) { return daemon == 2; }, 1'600},
         {"all relays but one", [](int daemon) { return daemon == 1 || daemon == 2; }, 3'000},
-        {"a third of all", [](int daemon) { return daemon % 20 < 7; }, 5'000},
+        {"a third of all daemons", [](int daemon) { return daemon % 20 < 7; }, 5'000},
     };
-    constexpr int kCut = 20'000;
+    constexpr int kCutStartMs = 20'000;
     constexpr double kDemand = 0.5;
     for (const Row& row : rows) {
       SpendingFleet fleet;
-      const int healed = kCut + row.ms;
+      const int healedMs = kCutStartMs + row.durationMs;
       fleet.reaches = [&](int from, int to, int ms) {
-        return ms < kCut || ms >= healed || row.apart(from) == row.apart(to);
+        return ms < kCutStartMs || ms >= healedMs || row.isolated(from) == row.isolated(to);
       };
-      fleet.run(0, healed + 6'000, kDemand);
-      const double given = fleet.admittedIn(healed, healed + 6'000);
-      CPPUNIT_ASSERT_MESSAGE(row.name + ": " + std::to_string(given), given >= 0.95 * kDemand * 6);
+      fleet.run(0, healedMs + 6'000, kDemand);
+      const double admitted = fleet.admittedIn(healedMs, healedMs + 6'000);
+      CPPUNIT_ASSERT_MESSAGE(row.name + ": " + std::to_string(admitted),
+                             admitted >= 0.95 * kDemand * 6);
     }
   }
 };
