--- a/test/FleetDiscoveryTest.cpp
+++ b/test/FleetDiscoveryTest.cpp
@@ -4,9 +4,9 @@
 // The seeds are daemons of three failure domains; the relays of the other domains must discover
 // each other from the member lists in reports. When a relay listed only its own domain's daemons
 // and the receiver's relay, two relays of domains without seeds that missed each other's first
-// reports never discovered each other. In a fleet of 295, two domains then permanently counted only
-// 233 live daemons (`fleet.heard`), and their first-ranked daemons kept taking the duties from each
-// other (epochs 1 to 7 in 45 s, seven duties missed).
+// reports never discovered each other. In a fleet of 295, all daemons of two domains then counted
+// only 233 live daemons (`fleet.heard`) for the whole run, and those domains' first-ranked daemons
+// kept taking the duties from each other (epochs 1 to 7 in 45 s, seven duties missed).
 
 #include <cppunit/extensions/HelperMacros.h>
 
--- a/test/FleetSplitTest.cpp
+++ b/test/FleetSplitTest.cpp
@@ -5,8 +5,8 @@
 // the next daemon in rank. After the stall the two relays may not discover each other, as other
 // domains reply only to the one they expect, and each then reports only a part of the domain. Live
 // daemon counts don't show this, but loads do: here 49 of 59 would be reported. In a fleet of 295
-// hosts, seven to nine windows of usage lacked the share of one domain (13 to 24 in 100 requests)
-// and a seventh fewer replicas were ordered, in some runs only.
+// hosts, seven to nine windows of usage were off by the share of one domain (13 to 24 in 100
+// requests) and a seventh fewer replicas were ordered, in some runs only.
 
 #include <cppunit/extensions/HelperMacros.h>
 
