--- a/test/DutyTest.cpp
+++ b/test/DutyTest.cpp
@@ -24,14 +24,14 @@
   return kStart + Millis(ms);
 }
 
-/// A store with one object, and what the platform saw of the duties' calls.
-struct World {
+/// A store with one object, and the calls of the duties as received by the platform.
+struct FakePlatform {
   std::optional<StoredDutyRecord> stored;
   std::map<std::int64_t, UsageCounts> reports;
   std::uint64_t highestEpoch = 0;
-  std::vector<std::string> faults;
+  std::vector<std::string> conflicts;
 
-  DutyOutcome put(const DutyRecord& record, std::uint64_t revision) {
+  DutyOutcome writeRecord(const DutyRecord& record, std::uint64_t revision) {
     const std::uint64_t present = stored ? stored->revision : 0;
     if (revision != present) return DutyOutcome::superseded;
     stored = StoredDutyRecord{record, present + 1};
@@ -41,60 +41,68 @@
     if (epoch < highestEpoch) return DutyOutcome::superseded;
     highestEpoch = epoch;
     const auto before = reports.find(window);
-    if (before != reports.end() && before->second != counts) faults.emplace_back("two reports");
+    if (before != reports.end() && before->second != counts)
+      conflicts.emplace_back("conflicting reports");
     reports[window] = counts;
     return DutyOutcome::done;
   }
 };
 
-/// How a call is spoilt.
-enum class Spoilt { no, lostAfter, lostBefore };
+/// How a call fails: not at all, after it was applied, or before.
+enum class CallFailure { none, responseLost, requestLost };
 
 class Daemon {
  public:
   Daemon(const std::string& name, std::uint64_t incarnation)
-      : name_(name), incarnation_(incarnation), keeper_(kPolicy, DaemonId(name), incarnation) {}
+      : name_(name),
+        incarnation_(incarnation),
+        stateMachine_(kPolicy, DaemonId(name), incarnation) {}
 
-  /// Takes one step against the world.
-  void turn(World& world, const DutyFacts& facts, int ms, Spoilt spoilt = Spoilt::no) {
-    const DutyStep step = keeper_.next(facts, at(ms));
+  /// Carries out the next step against the platform.
+  void runStep(FakePlatform& platform, const DutyFacts& facts, int ms,
+               CallFailure failure = CallFailure::none) {
+    const DutyStep step = stateMachine_.next(facts, at(ms));
     std::visit(
-        Overloaded{[&](const DutySteps::Nothing&) {},
-                   [&](const DutySteps::Read&) { read(world, ms, spoilt); },
-                   [&](const DutySteps::Create& s) { put(world, s.record, 0, ms, spoilt); },
-                   [&](const DutySteps::Write& s) { put(world, s.record, s.revision, ms, spoilt); },
-                   [&](const DutySteps::SendUsage& s) {
-                     if (spoilt == Spoilt::lostBefore) return lose(ms);
-                     const DutyOutcome outcome = world.report(s.epoch, s.window, s.counts);
-                     if (spoilt == Spoilt::lostAfter) return lose(ms);
-                     keeper_.noteOutcome(outcome, 0, at(ms));
-                   }},
+        Overloaded{
+            [&](const DutySteps::Nothing&) {},
+            [&](const DutySteps::Read&) { read(platform, ms, failure); },
+            [&](const DutySteps::Create& s) { writeRecord(platform, s.record, 0, ms, failure); },
+            [&](const DutySteps::Write& s) {
+              writeRecord(platform, s.record, s.revision, ms, failure);
+            },
+            [&](const DutySteps::SendUsage& s) {
+              if (failure == CallFailure::requestLost) return noteLostCall(ms);
+              const DutyOutcome outcome = platform.report(s.epoch, s.window, s.counts);
+              if (failure == CallFailure::responseLost) return noteLostCall(ms);
+              stateMachine_.noteOutcome(outcome, 0, at(ms));
+            }},
         step);
   }
-  DutyStateMachine& keeper() { return keeper_; }
+  DutyStateMachine& stateMachine() { return stateMachine_; }
   const std::string& name() const { return name_; }
   std::uint64_t incarnation() const { return incarnation_; }
 
  private:
-  void lose(int ms) { keeper_.noteOutcome(DutyOutcome::unknown, 0, at(ms)); }
-  void read(World& world, int ms, Spoilt spoilt) {
-    if (spoilt != Spoilt::no) return lose(ms);
-    if (world.stored) {
-      keeper_.noteRead(*world.stored, at(ms));
+  void noteLostCall(int ms) { stateMachine_.noteOutcome(DutyOutcome::unknown, 0, at(ms)); }
+  void read(FakePlatform& platform, int ms, CallFailure failure) {
+    if (failure != CallFailure::none) return noteLostCall(ms);
+    if (platform.stored) {
+      stateMachine_.noteRead(*platform.stored, at(ms));
     } else {
-      keeper_.noteOutcome(DutyOutcome::absent, 0, at(ms));
+      stateMachine_.noteOutcome(DutyOutcome::absent, 0, at(ms));
     }
   }
-  void put(World& world, const DutyRecord& record, std::uint64_t revision, int ms, Spoilt spoilt) {
-    if (spoilt == Spoilt::lostBefore) return lose(ms);
-    const DutyOutcome outcome = world.put(record, revision);
-    if (spoilt == Spoilt::lostAfter) return lose(ms);
-    keeper_.noteOutcome(outcome, world.stored ? world.stored->revision : 0, at(ms));
+  void writeRecord(FakePlatform& platform, const DutyRecord& record, std::uint64_t revision, int ms,
+                   CallFailure failure) {
+    if (failure == CallFailure::requestLost) return noteLostCall(ms);
+    const DutyOutcome outcome = platform.writeRecord(record, revision);
+    if (failure == CallFailure::responseLost) return noteLostCall(ms);
+    stateMachine_.noteOutcome(outcome, platform.stored ? platform.stored->revision : 0, at(ms));
   }
 
   std::string name_;
   std::uint64_t incarnation_;
-  DutyStateMachine keeper_;
+  DutyStateMachine stateMachine_;
 };
 
 DutyFacts factsAt(int ms, const std::vector<std::pair<std::string, std::uint64_t>>& heard) {
@@ -109,199 +117,203 @@
 
 class DutyTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(DutyTest);
-  CPPUNIT_TEST(recordTellsTheSizeOfTheFleet);
-  CPPUNIT_TEST(theFirstByNameTakesAndReports);
-  CPPUNIT_TEST(aSilentHolderIsGivenUpAfterItsLease);
-  CPPUNIT_TEST(aRestartedHolderIsReplacedAtOnce);
-  CPPUNIT_TEST(aHolderThatWasReplacedActsNoMore);
-  CPPUNIT_TEST(aLostWriteIsReadAgain);
-  CPPUNIT_TEST(aHolderThatLostAWriteGoesOnThoughItIsNotFirst);
-  CPPUNIT_TEST(reportsStayTheSameThroughAnyTakeOver);
-  CPPUNIT_TEST(aWindowWaitsForDaemonsThatAreNotHeard);
+  CPPUNIT_TEST(recordContainsTheFleetSize);
+  CPPUNIT_TEST(lowestNameTakesOverAndReports);
+  CPPUNIT_TEST(unreachableHolderIsReplacedAfterItsLease);
+  CPPUNIT_TEST(restartedHolderIsReplacedImmediately);
+  CPPUNIT_TEST(replacedHolderStopsActing);
+  CPPUNIT_TEST(recordIsReadAgainAfterALostWrite);
+  CPPUNIT_TEST(holderContinuesAfterALostWriteThoughNotPreferred);
+  CPPUNIT_TEST(reportsNeverChangeAcrossTakeovers);
+  CPPUNIT_TEST(windowWaitsForUnreachableDaemons);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  /// A domain is cut off for four seconds around the end of a window. Its daemons serve on, and
-  /// what they counted is heard half a second after the cut has healed: the log then told
-  /// `duty.usageChanged` from 935 to 1141 requests, as the window had been fixed 2.5 s after its
-  /// end. Its report is due 10 s after it: there is time to wait, though not for those that never
-  /// come.
-  void aWindowWaitsForDaemonsThatAreNotHeard() {
+  /// Guards against a window that is finalised without the counts of daemons that are unreachable
+  /// for a few seconds. A domain partitioned for four seconds around the end of a window continues
+  /// to serve, and its counts arrive half a second after the partition heals; with the window
+  /// finalised 2.5 s after its end, `duty.usageChanged` was logged, from 935 to 1141 requests. The
+  /// report is due 10 s after the window's end, so there is time to wait, but not for daemons that
+  /// never return.
+  void windowWaitsForUnreachableDaemons() {
     struct Row {
-      const char* story;
-      int heardAgain;
+      const char* label;
+      int partitionEnd;
       std::uint64_t reported;
       int latest;
     };
     const std::vector<Row> rows{
-        {"all are heard", 0, 30, 8'000},
-        {"one comes back in time", 8'500, 30, 9'500},
-        {"one never comes back", 60'000, 20, 12'000},
+        {"all are reachable", 0, 30, 8'000},
+        {"one is reachable again in time", 8'500, 30, 9'500},
+        {"one stays unreachable", 60'000, 20, 12'000},
     };
     for (const Row& row : rows) {
-      World world;
+      FakePlatform platform;
       Daemon a("a", 1);
       int reportedAt = 0;
       for (int ms = 0; ms <= 20'000 && reportedAt == 0; ms += 100) {
-        const bool cut = ms >= 3'000 && ms < row.heardAgain;
+        const bool partitioned = ms >= 3'000 && ms < row.partitionEnd;
         DutyFacts facts = factsAt(ms, {{"a", 1}});
-        if (!cut) facts.heard[DaemonId("b")] = 1;
+        if (!partitioned) facts.heard[DaemonId("b")] = 1;
         facts.known = 2;
-        facts.usage[200][kOrg] = cut ? 20 : 30;
-        a.turn(world, facts, ms);
-        if (world.reports.contains(200)) reportedAt = ms;
+        facts.usage[200][kOrg] = partitioned ? 20 : 30;
+        a.runStep(platform, facts, ms);
+        if (platform.reports.contains(200)) reportedAt = ms;
       }
-      CPPUNIT_ASSERT_EQUAL_MESSAGE(row.story, row.reported, world.reports.at(200).at(kOrg));
-      CPPUNIT_ASSERT_MESSAGE(row.story + std::to_string(reportedAt), reportedAt <= row.latest);
+      CPPUNIT_ASSERT_EQUAL_MESSAGE(row.label, row.reported, platform.reports.at(200).at(kOrg));
+      CPPUNIT_ASSERT_MESSAGE(row.label + std::to_string(reportedAt), reportedAt <= row.latest);
     }
   }
 
-  void theFirstByNameTakesAndReports() {
-    World world;
+  void lowestNameTakesOverAndReports() {
+    FakePlatform platform;
     Daemon a("a", 1);
     Daemon b("b", 1);
     for (int ms = 0; ms <= 20'000; ms += 100) {
       const DutyFacts facts = factsAt(ms, {{"a", 1}, {"b", 1}});
-      a.turn(world, facts, ms);
-      b.turn(world, facts, ms);
+      a.runStep(platform, facts, ms);
+      b.runStep(platform, facts, ms);
     }
-    CPPUNIT_ASSERT(a.keeper().holdsDuties());
-    CPPUNIT_ASSERT(!b.keeper().holdsDuties());
-    CPPUNIT_ASSERT_EQUAL(std::uint64_t{1}, world.highestEpoch);
+    CPPUNIT_ASSERT(a.stateMachine().holdsDuties());
+    CPPUNIT_ASSERT(!b.stateMachine().holdsDuties());
+    CPPUNIT_ASSERT_EQUAL(std::uint64_t{1}, platform.highestEpoch);
     for (std::int64_t window = 200; window <= 202; ++window) {
-      CPPUNIT_ASSERT_EQUAL(static_cast<std::uint64_t>(window), world.reports.at(window).at(kOrg));
+      CPPUNIT_ASSERT_EQUAL(static_cast<std::uint64_t>(window),
+                           platform.reports.at(window).at(kOrg));
     }
   }
 
-  void aSilentHolderIsGivenUpAfterItsLease() {
-    World world;
-    world.stored = StoredDutyRecord{{{DaemonId("a"), 1, 5}, {}, 0}, 7};
+  void unreachableHolderIsReplacedAfterItsLease() {
+    FakePlatform platform;
+    platform.stored = StoredDutyRecord{{{DaemonId("a"), 1, 5}, {}, 0}, 7};
     Daemon b("b", 1);
-    int taken = 0;
-    for (int ms = 0; ms <= 10'000 && taken == 0; ms += 100) {
-      b.turn(world, factsAt(ms, {{"b", 1}}), ms);
-      if (b.keeper().holdsDuties()) taken = ms;
+    int takeoverMs = 0;
+    for (int ms = 0; ms <= 10'000 && takeoverMs == 0; ms += 100) {
+      b.runStep(platform, factsAt(ms, {{"b", 1}}), ms);
+      if (b.stateMachine().holdsDuties()) takeoverMs = ms;
     }
-    CPPUNIT_ASSERT(taken >= 3'000 && taken <= 5'000);
-    CPPUNIT_ASSERT_EQUAL(std::uint64_t{6}, world.stored->record.holder.epoch);
+    CPPUNIT_ASSERT(takeoverMs >= 3'000 && takeoverMs <= 5'000);
+    CPPUNIT_ASSERT_EQUAL(std::uint64_t{6}, platform.stored->record.holder.epoch);
   }
 
-  void aRestartedHolderIsReplacedAtOnce() {
-    World world;
-    world.stored = StoredDutyRecord{{{DaemonId("a"), 1, 5}, {}, 0}, 7};
+  void restartedHolderIsReplacedImmediately() {
+    FakePlatform platform;
+    platform.stored = StoredDutyRecord{{{DaemonId("a"), 1, 5}, {}, 0}, 7};
     Daemon a("a", 2);
-    a.turn(world, factsAt(0, {{"a", 2}, {"b", 1}}), 0);
-    a.turn(world, factsAt(100, {{"a", 2}, {"b", 1}}), 100);
-    CPPUNIT_ASSERT(a.keeper().holdsDuties());
-    CPPUNIT_ASSERT_EQUAL(std::uint64_t{6}, world.stored->record.holder.epoch);
+    a.runStep(platform, factsAt(0, {{"a", 2}, {"b", 1}}), 0);
+    a.runStep(platform, factsAt(100, {{"a", 2}, {"b", 1}}), 100);
+    CPPUNIT_ASSERT(a.stateMachine().holdsDuties());
+    CPPUNIT_ASSERT_EQUAL(std::uint64_t{6}, platform.stored->record.holder.epoch);
   }
 
-  void aHolderThatWasReplacedActsNoMore() {
-    World world;
+  void replacedHolderStopsActing() {
+    FakePlatform platform;
     Daemon a("a", 1);
-    for (int ms = 0; ms < 1'000; ms += 100) a.turn(world, factsAt(ms, {{"a", 1}}), ms);
-    CPPUNIT_ASSERT(a.keeper().holdsDuties());
-    // Another took over while this one slept.
-    world.put({{DaemonId("b"), 1, 2}, {}, 0}, world.stored->revision);
-    a.turn(world, factsAt(12'000, {{"a", 1}, {"b", 1}}), 12'000);
-    CPPUNIT_ASSERT(!a.keeper().holdsDuties());
-    CPPUNIT_ASSERT(world.reports.empty());
-    // Or it hears of the other first.
+    for (int ms = 0; ms < 1'000; ms += 100) a.runStep(platform, factsAt(ms, {{"a", 1}}), ms);
+    CPPUNIT_ASSERT(a.stateMachine().holdsDuties());
+    // Another daemon took over while this one was suspended.
+    platform.writeRecord({{DaemonId("b"), 1, 2}, {}, 0}, platform.stored->revision);
+    a.runStep(platform, factsAt(12'000, {{"a", 1}, {"b", 1}}), 12'000);
+    CPPUNIT_ASSERT(!a.stateMachine().holdsDuties());
+    CPPUNIT_ASSERT(platform.reports.empty());
+    // Or a report names the new holder first.
     Daemon c("c", 1);
-    World other;
-    for (int ms = 0; ms < 1'000; ms += 100) c.turn(other, factsAt(ms, {{"c", 1}}), ms);
+    FakePlatform other;
+    for (int ms = 0; ms < 1'000; ms += 100) c.runStep(other, factsAt(ms, {{"c", 1}}), ms);
     DutyFacts facts = factsAt(2'000, {{"c", 1}, {"d", 1}});
     facts.reportedHolder = {DaemonId("d"), 1, 9};
-    c.turn(other, facts, 2'000);
-    CPPUNIT_ASSERT(!c.keeper().holdsDuties());
+    c.runStep(other, facts, 2'000);
+    CPPUNIT_ASSERT(!c.stateMachine().holdsDuties());
   }
 
-  void aLostWriteIsReadAgain() {
-    World world;
+  void recordIsReadAgainAfterALostWrite() {
+    FakePlatform platform;
     Daemon a("a", 1);
     const auto facts = [](int ms) { return factsAt(ms, {{"a", 1}}); };
-    a.turn(world, facts(0), 0);
-    a.turn(world, facts(100), 100, Spoilt::lostAfter);
-    CPPUNIT_ASSERT(!a.keeper().holdsDuties());
-    a.turn(world, facts(1'000), 1'000);
-    a.turn(world, facts(1'100), 1'100);
-    CPPUNIT_ASSERT(a.keeper().holdsDuties());
-    CPPUNIT_ASSERT_EQUAL(std::uint64_t{1}, world.stored->record.holder.epoch);
+    a.runStep(platform, facts(0), 0);
+    a.runStep(platform, facts(100), 100, CallFailure::responseLost);
+    CPPUNIT_ASSERT(!a.stateMachine().holdsDuties());
+    a.runStep(platform, facts(1'000), 1'000);
+    a.runStep(platform, facts(1'100), 1'100);
+    CPPUNIT_ASSERT(a.stateMachine().holdsDuties());
+    CPPUNIT_ASSERT_EQUAL(std::uint64_t{1}, platform.stored->record.holder.epoch);
   }
 
-  /// All others name it and wait for it: nobody else would read the record.
-  void aHolderThatLostAWriteGoesOnThoughItIsNotFirst() {
-    World world;
+  /// All other daemons report it as the holder and wait for it, so nobody else would read the
+  /// record.
+  void holderContinuesAfterALostWriteThoughNotPreferred() {
+    FakePlatform platform;
     Daemon a("a", 1);
     Daemon b("b", 1);
-    for (int ms = 0; ms < 1'000; ms += 100) b.turn(world, factsAt(ms, {{"b", 1}}), ms);
-    CPPUNIT_ASSERT(b.keeper().holdsDuties());
+    for (int ms = 0; ms < 1'000; ms += 100) b.runStep(platform, factsAt(ms, {{"b", 1}}), ms);
+    CPPUNIT_ASSERT(b.stateMachine().holdsDuties());
     for (int ms = 1'000; ms <= 30'000; ms += 100) {
       DutyFacts facts = factsAt(ms, {{"a", 1}, {"b", 1}});
       facts.reportedHolder = {DaemonId("b"), 1, 1};
-      // The write that fixes the first window is done, and its answer lost.
-      const bool spoil = ms >= 7'400 && ms <= 7'700;
-      b.turn(world, facts, ms, spoil ? Spoilt::lostAfter : Spoilt::no);
-      a.turn(world, facts, ms);
+      // The write that finalises the first window is applied, and its response lost.
+      const bool loseResponse = ms >= 7'400 && ms <= 7'700;
+      b.runStep(platform, facts, ms, loseResponse ? CallFailure::responseLost : CallFailure::none);
+      a.runStep(platform, facts, ms);
     }
-    CPPUNIT_ASSERT_EQUAL(std::uint64_t{1}, world.highestEpoch);
-    CPPUNIT_ASSERT(world.reports.size() >= 5);
-    CPPUNIT_ASSERT(world.faults.empty());
+    CPPUNIT_ASSERT_EQUAL(std::uint64_t{1}, platform.highestEpoch);
+    CPPUNIT_ASSERT(platform.reports.size() >= 5);
+    CPPUNIT_ASSERT(platform.conflicts.empty());
   }
 
-  void recordTellsTheSizeOfTheFleet() {
-    World world;
+  void recordContainsTheFleetSize() {
+    FakePlatform platform;
     Daemon a("a", 1);
     for (int ms = 0; ms <= 10'000; ms += 250) {
       DutyFacts facts = factsAt(ms, {{"a", 1}});
       facts.known = 7;
-      a.turn(world, facts, ms);
+      a.runStep(platform, facts, ms);
     }
-    CPPUNIT_ASSERT_EQUAL(std::size_t{7}, world.stored->record.daemons);
-    // One that takes over right after a restart of all has met few.
+    CPPUNIT_ASSERT_EQUAL(std::size_t{7}, platform.stored->record.daemons);
+    // A daemon that takes over right after all have restarted has discovered few others.
     Daemon b("a", 2);
     for (int ms = 10'000; ms <= 10'500; ms += 250) {
       DutyFacts facts = factsAt(10'000, {{"a", 2}});
-      b.turn(world, facts, ms);
+      b.runStep(platform, facts, ms);
     }
-    CPPUNIT_ASSERT_EQUAL(std::uint64_t{2}, world.stored->record.holder.incarnation);
-    CPPUNIT_ASSERT_EQUAL(std::size_t{7}, world.stored->record.daemons);
+    CPPUNIT_ASSERT_EQUAL(std::uint64_t{2}, platform.stored->record.holder.incarnation);
+    CPPUNIT_ASSERT_EQUAL(std::size_t{7}, platform.stored->record.daemons);
   }
 
-  /// Three daemons that hear each other by turns, restart, and lose calls.
-  void reportsStayTheSameThroughAnyTakeOver() {
+  /// Three daemons that are unreachable at random times, restart, and lose calls.
+  void reportsNeverChangeAcrossTakeovers() {
     for (std::uint64_t seed = 1; seed <= 60; ++seed) {
       std::mt19937_64 random(seed);
       const auto draw = [&](std::uint64_t below) { return random() % below; };
-      World world;
+      FakePlatform platform;
       std::vector<Daemon> daemons{{"a", 1}, {"b", 1}, {"c", 1}};
-      std::vector<int> hidden(3, 0);
+      std::vector<int> unreachableUntil(3, 0);
       std::uint64_t incarnation = 1;
       std::map<std::uint64_t, std::string> epochs;
       for (int ms = 0; ms <= 60'000; ms += 100) {
         for (std::size_t i = 0; i < daemons.size(); ++i) {
-          if (draw(200) == 0) hidden[i] = ms + static_cast<int>(draw(8'000));
+          if (draw(200) == 0) unreachableUntil[i] = ms + static_cast<int>(draw(8'000));
           if (draw(400) == 0) daemons[i] = Daemon(daemons[i].name(), ++incarnation);
           std::vector<std::pair<std::string, std::uint64_t>> heard;
           for (std::size_t j = 0; j < daemons.size(); ++j) {
-            const bool both = hidden[i] <= ms && hidden[j] <= ms;
+            const bool both = unreachableUntil[i] <= ms && unreachableUntil[j] <= ms;
             if (i == j || both) heard.emplace_back(daemons[j].name(), daemons[j].incarnation());
           }
           DutyFacts facts = factsAt(ms, heard);
-          // Each daemon sees a little less than all of the newest windows.
+          // The daemons' counts of the newest window differ.
           facts.usage[(1'000'000 + ms) / 5'000][kOrg] = draw(1'000);
-          const Spoilt spoilt =
-              draw(10) == 0 ? (draw(2) == 0 ? Spoilt::lostAfter : Spoilt::lostBefore) : Spoilt::no;
-          daemons[i].turn(world, facts, ms, spoilt);
+          const CallFailure failure =
+              draw(10) == 0 ? (draw(2) == 0 ? CallFailure::responseLost : CallFailure::requestLost)
+                            : CallFailure::none;
+          daemons[i].runStep(platform, facts, ms, failure);
         }
-        if (!world.stored) continue;
-        const DutyHolder& holder = world.stored->record.holder;
-        const std::string who = holder.daemon.str() + std::to_string(holder.incarnation);
-        const auto [known, fresh] = epochs.emplace(holder.epoch, who);
-        CPPUNIT_ASSERT_EQUAL_MESSAGE("two holders of an epoch", known->second, who);
+        if (!platform.stored) continue;
+        const DutyHolder& holder = platform.stored->record.holder;
+        const std::string holderId = holder.daemon.str() + std::to_string(holder.incarnation);
+        const auto [known, fresh] = epochs.emplace(holder.epoch, holderId);
+        CPPUNIT_ASSERT_EQUAL_MESSAGE("two holders with the same epoch", known->second, holderId);
       }
-      CPPUNIT_ASSERT_MESSAGE("seed " + std::to_string(seed), world.faults.empty());
-      CPPUNIT_ASSERT_MESSAGE("seed " + std::to_string(seed), world.reports.size() >= 6);
+      CPPUNIT_ASSERT_MESSAGE("seed " + std::to_string(seed), platform.conflicts.empty());
+      CPPUNIT_ASSERT_MESSAGE("seed " + std::to_string(seed), platform.reports.size() >= 6);
     }
   }
 };
