--- a/test/GatewayTest.cpp
+++ b/test/GatewayTest.cpp
@@ -24,16 +24,16 @@
   CPPUNIT_TEST_SUITE(GatewayTest);
   CPPUNIT_TEST(routesByTable);
   CPPUNIT_TEST(splitsByWeight);
-  CPPUNIT_TEST(retriesStayInTheWindowsBudget);
+  CPPUNIT_TEST(retriesStayWithinTheBudgetOfTheWindow);
   CPPUNIT_TEST(picksByTable);
-  CPPUNIT_TEST(aSubjectHasOneHomeUntilItIsBusy);
-  CPPUNIT_TEST(aSubjectLeavesAHomeWithMuchToRead);
-  CPPUNIT_TEST(promptsCountUntilTheyAreRead);
-  CPPUNIT_TEST(theHomeBeforeGivesItsCache);
-  CPPUNIT_TEST(anUpstreamThatLeftIsALastResortForAShortWhile);
-  CPPUNIT_TEST(drainingIsNeverTakenBack);
-  CPPUNIT_TEST(failuresInARowShunAnUpstream);
-  CPPUNIT_TEST(aDomainOutOfReachIsPassedOver);
+  CPPUNIT_TEST(affinityKeyKeepsItsUpstreamUntilItIsBusy);
+  CPPUNIT_TEST(affinityKeyLeavesAnUpstreamWithALongPrefillBacklog);
+  CPPUNIT_TEST(promptsCountAsBacklogUntilTheyAreProcessed);
+  CPPUNIT_TEST(previousFirstChoiceIsTheCacheSource);
+  CPPUNIT_TEST(unlistedUpstreamIsALastResortForAShortTime);
+  CPPUNIT_TEST(drainingIsNotRevokedByAnOlderListing);
+  CPPUNIT_TEST(consecutiveFailuresEjectAnUpstream);
+  CPPUNIT_TEST(unreachableDomainIsEjected);
   CPPUNIT_TEST(usageIsCountedByWindow);
   CPPUNIT_TEST_SUITE_END();
 
@@ -87,37 +87,37 @@
     CPPUNIT_ASSERT(toB > 140 && toB < 260);
   }
 
-  void retriesStayInTheWindowsBudget() {
+  void retriesStayWithinTheBudgetOfTheWindow() {
     const RetryAllowance allowance{0.2, 20, Millis(10'000)};
     RetryWindow window;
     for (int i = 0; i < 50; ++i) window.noteRequest(at(i));
-    // Ten for the requests and seven tenths of a half of the slack.
-    int taken = 0;
-    while (window.takeRepeat(allowance, 2, at(100))) ++taken;
-    CPPUNIT_ASSERT_EQUAL(17, taken);
+    // 10 for 20% of the requests, plus 7 for 70% of this daemon's half of the slack.
+    int retries = 0;
+    while (window.takeRepeat(allowance, 2, at(100))) ++retries;
+    CPPUNIT_ASSERT_EQUAL(17, retries);
     CPPUNIT_ASSERT(!window.takeRepeat(allowance, 2, at(9'000)));
-    taken = 0;
-    while (window.takeRepeat(allowance, 2, at(10'200))) ++taken;
-    CPPUNIT_ASSERT_EQUAL(7, taken);
+    retries = 0;
+    while (window.takeRepeat(allowance, 2, at(10'200))) ++retries;
+    CPPUNIT_ASSERT_EQUAL(7, retries);
   }
 
   void picksByTable() {
     struct Row {
       std::string name;
-      std::vector<std::string> draining, shunned, gone, tried;
+      std::vector<std::string> draining, ejected, unlisted, tried;
       std::string expected;
     };
     const std::vector<Row> rows{
-        {"the own domain's", {}, {}, {}, {}, "own"},
+        {"an upstream of the own domain", {}, {}, {}, {}, "own"},
         {"not a draining one", {"own"}, {}, {}, {}, "far"},
-        {"not a shunned one", {}, {"own"}, {}, {}, "far"},
-        {"not one that left", {}, {}, {"own"}, {}, "far"},
+        {"not an ejected one", {}, {"own"}, {}, {}, "far"},
+        {"not an unlisted one", {}, {}, {"own"}, {}, "far"},
         {"not one that was tried", {}, {}, {}, {"own"}, "far"},
-        {"a shunned one if no other is left", {"far"}, {"own"}, {}, {}, "own"},
-        {"one that left just now if no other is left", {"far"}, {}, {"own"}, {}, "own"},
-        {"a shunned one before one that left", {}, {"far"}, {"own"}, {}, "far"},
+        {"an ejected one if no other is left", {"far"}, {"own"}, {}, {}, "own"},
+        {"a recently unlisted one if no other is left", {"far"}, {}, {"own"}, {}, "own"},
+        {"an ejected one before an unlisted one", {}, {"far"}, {"own"}, {}, "far"},
         {"never a draining one", {"own", "far"}, {}, {}, {}, ""},
-        {"never one twice", {}, {}, {}, {"own", "far"}, ""},
+        {"none a second time", {}, {}, {}, {"own", "far"}, ""},
     };
     for (const Row& row : rows) {
       const auto has = [](const std::vector<std::string>& names, const std::string& name) {
@@ -125,53 +125,54 @@
       };
       UpstreamTable table;
       std::vector<UpstreamRecord> records{record("own", "d1"), record("far", "d2")};
-      UpstreamRecord stranger = record("stranger", "d1");
-      stranger.service = ServiceName("t");
-      records.push_back(stranger);
+      UpstreamRecord otherService = record("stranger", "d1");
+      otherService.service = ServiceName("t");
+      records.push_back(otherService);
       table.replace(records, at(0));
       for (const std::string& id : row.draining) table.noteDraining(UpstreamId(id));
-      for (const std::string& id : row.shunned) fail(table, id, 2, at(0));
-      std::erase_if(records, [&](const UpstreamRecord& r) { return has(row.gone, r.id.str()); });
+      for (const std::string& id : row.ejected) failRequests(table, id, 2, at(0));
+      std::erase_if(records,
+                    [&](const UpstreamRecord& r) { return has(row.unlisted, r.id.str()); });
       table.replace(records, at(0));
-      UpstreamCriteria wish = wishFor("");
-      for (const std::string& id : row.tried) wish.tried.insert(UpstreamId(id));
-      const UpstreamEntry* picked = pickUpstream(table, wish, at(10));
+      UpstreamCriteria criteria = criteriaFor("");
+      for (const std::string& id : row.tried) criteria.tried.insert(UpstreamId(id));
+      const UpstreamEntry* picked = pickUpstream(table, criteria, at(10));
       CPPUNIT_ASSERT_EQUAL_MESSAGE(row.name, row.expected,
                                    picked == nullptr ? "" : picked->record.id.str());
     }
   }
 
-  void aSubjectHasOneHomeUntilItIsBusy() {
+  void affinityKeyKeepsItsUpstreamUntilItIsBusy() {
     UpstreamTable table;
     std::vector<UpstreamRecord> records;
     records.reserve(6);
     for (int i = 0; i < 6; ++i) records.push_back(record("u" + std::to_string(i), "d1"));
     table.replace(records, at(0));
-    const UpstreamEntry* home = pickUpstream(table, wishFor("subject"), at(0));
+    const UpstreamEntry* firstChoice = pickUpstream(table, criteriaFor("subject"), at(0));
     for (int i = 0; i < 5; ++i) {
-      CPPUNIT_ASSERT(pickUpstream(table, wishFor("subject"), at(i)) == home);
-      table.noteDispatched(home->record.id);
+      CPPUNIT_ASSERT(pickUpstream(table, criteriaFor("subject"), at(i)) == firstChoice);
+      table.noteDispatched(firstChoice->record.id);
     }
-    for (int i = 0; i < 20; ++i) table.noteDispatched(home->record.id);
-    const UpstreamEntry* second = pickUpstream(table, wishFor("subject"), at(0));
-    CPPUNIT_ASSERT(second != home);
-    // When another one leaves, only its own subjects move.
+    for (int i = 0; i < 20; ++i) table.noteDispatched(firstChoice->record.id);
+    const UpstreamEntry* second = pickUpstream(table, criteriaFor("subject"), at(0));
+    CPPUNIT_ASSERT(second != firstChoice);
+    // When another upstream leaves, only the keys that were mapped to it move.
     std::erase_if(records, [&](const UpstreamRecord& r) {
-      return r.id != home->record.id && r.id != second->record.id;
+      return r.id != firstChoice->record.id && r.id != second->record.id;
     });
     for (int i = 0; i < 25; ++i) {
-      table.noteEnded(home->record.id, DispatchResult::answered, at(0));
+      table.noteEnded(firstChoice->record.id, DispatchResult::answered, at(0));
     }
     table.replace(records, at(0));
-    CPPUNIT_ASSERT(pickUpstream(table, wishFor("subject"), at(0)) == home);
+    CPPUNIT_ASSERT(pickUpstream(table, criteriaFor("subject"), at(0)) == firstChoice);
   }
 
-  void aSubjectLeavesAHomeWithMuchToRead() {
+  void affinityKeyLeavesAnUpstreamWithALongPrefillBacklog() {
     struct Row {
       std::uint64_t sharedTokens;
-      std::uint64_t unreadAtHome;
-      std::uint64_t unreadElsewhere;
-      bool staysHome;
+      std::uint64_t backlogAtFirstChoice;
+      std::uint64_t backlogElsewhere;
+      bool staysAtFirstChoice;
     };
     const std::vector<Row> rows{
         {200, 0, 0, true},         {200, 2'500, 0, true},      {200, 3'000, 0, false},
@@ -182,24 +183,25 @@
       const Row& row = rows[i];
       UpstreamTable table;
       table.replace(std::vector{record("a", "d1"), record("b", "d1"), record("c", "d2")}, at(0));
-      UpstreamCriteria wish = wishFor("subject");
-      wish.sharedTokens = row.sharedTokens;
-      const UpstreamEntry* home = pickUpstream(table, wish, at(0));
-      UpstreamLoads heard;
+      UpstreamCriteria criteria = criteriaFor("subject");
+      criteria.sharedTokens = row.sharedTokens;
+      const UpstreamEntry* firstChoice = pickUpstream(table, criteria, at(0));
+      UpstreamLoads peerLoads;
       for (const auto& [id, entry] : table.entries()) {
-        // One half of it is this daemon's own, the other one is heard of.
-        const bool isHome = &entry == home;
-        const std::uint64_t unread = (isHome ? row.unreadAtHome : row.unreadElsewhere) / 2;
-        table.noteDispatched(id, unread);
-        heard[id] = {1, unread};
+        // Half of the backlog is from this daemon, the other half is reported by peers.
+        const bool isFirstChoice = &entry == firstChoice;
+        const std::uint64_t backlog =
+            (isFirstChoice ? row.backlogAtFirstChoice : row.backlogElsewhere) / 2;
+        table.noteDispatched(id, backlog);
+        peerLoads[id] = {1, backlog};
       }
-      table.setPeerLoads(heard);
-      const bool stays = pickUpstream(table, wish, at(0)) == home;
-      CPPUNIT_ASSERT_EQUAL_MESSAGE("row " + std::to_string(i), row.staysHome, stays);
+      table.setPeerLoads(peerLoads);
+      const bool stays = pickUpstream(table, criteria, at(0)) == firstChoice;
+      CPPUNIT_ASSERT_EQUAL_MESSAGE("row " + std::to_string(i), row.staysAtFirstChoice, stays);
     }
   }
 
-  void promptsCountUntilTheyAreRead() {
+  void promptsCountAsBacklogUntilTheyAreProcessed() {
     UpstreamTable table;
     table.replace(std::vector{record("a", "d1")}, at(0));
     const UpstreamId id("a");
@@ -214,81 +216,81 @@
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, table.ownLoads().at(id).pendingPrefillTokens);
   }
 
-  void theHomeBeforeGivesItsCache() {
+  void previousFirstChoiceIsTheCacheSource() {
     UpstreamTable table;
     std::vector<UpstreamRecord> records;
     records.reserve(7);
     for (int i = 0; i < 6; ++i) records.push_back(record("u" + std::to_string(i), "d1"));
     table.replace(records, at(0));
-    const UpstreamCriteria wish = wishFor("subject");
-    const UpstreamEntry* home = pickUpstream(table, wish, at(0));
-    CPPUNIT_ASSERT(cacheSource(table, wish, *home, at(0)) == nullptr);
-    // It leaves: whoever comes after it copies from it, until it is gone.
-    table.noteDraining(home->record.id);
-    const UpstreamEntry* next = pickUpstream(table, wish, at(0));
-    CPPUNIT_ASSERT(next != home);
-    CPPUNIT_ASSERT(cacheSource(table, wish, *next, at(0)) == home);
-    std::erase_if(records, [&](const UpstreamRecord& r) { return r.id == home->record.id; });
+    const UpstreamCriteria criteria = criteriaFor("subject");
+    const UpstreamEntry* firstChoice = pickUpstream(table, criteria, at(0));
+    CPPUNIT_ASSERT(cacheSource(table, criteria, *firstChoice, at(0)) == nullptr);
+    // While it drains, its successor copies from it, until it is unlisted.
+    table.noteDraining(firstChoice->record.id);
+    const UpstreamEntry* next = pickUpstream(table, criteria, at(0));
+    CPPUNIT_ASSERT(next != firstChoice);
+    CPPUNIT_ASSERT(cacheSource(table, criteria, *next, at(0)) == firstChoice);
+    std::erase_if(records, [&](const UpstreamRecord& r) { return r.id == firstChoice->record.id; });
     table.replace(records, at(100));
-    CPPUNIT_ASSERT(cacheSource(table, wish, *next, at(100)) == nullptr);
-    // One that came lately copies from the home before it, as long as its cache fills.
-    UpstreamTable grown;
-    grown.replace(records, at(0));
-    records.push_back(home->record);
+    CPPUNIT_ASSERT(cacheSource(table, criteria, *next, at(100)) == nullptr);
+    // A recently listed upstream copies from the previous first choice while its cache fills.
+    UpstreamTable extended;
+    extended.replace(records, at(0));
+    records.push_back(firstChoice->record);
     records.back().state = UpstreamState::ready;
-    grown.replace(records, at(100));
-    const UpstreamEntry* fresh = pickUpstream(grown, wish, at(200));
-    CPPUNIT_ASSERT_EQUAL(home->record.id.str(), fresh->record.id.str());
-    const UpstreamEntry* source = cacheSource(grown, wish, *fresh, at(200));
+    extended.replace(records, at(100));
+    const UpstreamEntry* fresh = pickUpstream(extended, criteria, at(200));
+    CPPUNIT_ASSERT_EQUAL(firstChoice->record.id.str(), fresh->record.id.str());
+    const UpstreamEntry* source = cacheSource(extended, criteria, *fresh, at(200));
     CPPUNIT_ASSERT(source != nullptr && source->record.id == next->record.id);
-    CPPUNIT_ASSERT(cacheSource(grown, wish, *fresh, at(20'000)) == nullptr);
-    // One that fails, or is out of reach, is not asked.
-    fail(grown, next->record.id.str(), 2, at(200));
-    const UpstreamEntry* other = cacheSource(grown, wish, *fresh, at(210));
+    CPPUNIT_ASSERT(cacheSource(extended, criteria, *fresh, at(20'000)) == nullptr);
+    // A failing or unreachable upstream is not used as a source.
+    failRequests(extended, next->record.id.str(), 2, at(200));
+    const UpstreamEntry* other = cacheSource(extended, criteria, *fresh, at(210));
     CPPUNIT_ASSERT(other == nullptr || other->record.id != next->record.id);
   }
 
-  void anUpstreamThatLeftIsALastResortForAShortWhile() {
+  void unlistedUpstreamIsALastResortForAShortTime() {
     UpstreamTable table;
     table.replace(std::vector{record("a", "d1")}, at(0));
-    const auto gone = table.replace({}, at(100));
-    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, gone.size());
-    CPPUNIT_ASSERT(pickUpstream(table, wishFor(""), at(1'000)) != nullptr);
-    CPPUNIT_ASSERT(pickUpstream(table, wishFor(""), at(1'700)) == nullptr);
-    // It comes back when its entry does.
+    const auto unlisted = table.replace({}, at(100));
+    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, unlisted.size());
+    CPPUNIT_ASSERT(pickUpstream(table, criteriaFor(""), at(1'000)) != nullptr);
+    CPPUNIT_ASSERT(pickUpstream(table, criteriaFor(""), at(1'700)) == nullptr);
+    // It is used again once it is listed again.
     table.replace(std::vector{record("a", "d1")}, at(2'000));
-    CPPUNIT_ASSERT(pickUpstream(table, wishFor(""), at(2'000)) != nullptr);
-    // One whose address another has taken over is not even that.
+    CPPUNIT_ASSERT(pickUpstream(table, criteriaFor(""), at(2'000)) != nullptr);
+    // An upstream whose address now belongs to another one is not used even as a last resort.
     table.noteAddressReused(UpstreamId("a"), at(2'000));
-    CPPUNIT_ASSERT(pickUpstream(table, wishFor(""), at(2'000)) == nullptr);
+    CPPUNIT_ASSERT(pickUpstream(table, criteriaFor(""), at(2'000)) == nullptr);
   }
 
-  void drainingIsNeverTakenBack() {
+  void drainingIsNotRevokedByAnOlderListing() {
     UpstreamTable table;
     table.replace(std::vector{record("a", "d1")}, at(0));
     table.noteDraining(UpstreamId("a"));
-    // A list from before the word came.
+    // A listing from before the upstream reported that it is draining.
     table.replace(std::vector{record("a", "d1")}, at(10));
-    CPPUNIT_ASSERT(pickUpstream(table, wishFor(""), at(10)) == nullptr);
+    CPPUNIT_ASSERT(pickUpstream(table, criteriaFor(""), at(10)) == nullptr);
   }
 
-  void failuresInARowShunAnUpstream() {
+  void consecutiveFailuresEjectAnUpstream() {
     UpstreamTable table;
     table.replace(std::vector{record("a", "d1"), record("b", "d2")}, at(0));
-    fail(table, "a", 1, at(0));
-    CPPUNIT_ASSERT_EQUAL(std::string("a"), pickedAt(table, 1));
-    fail(table, "a", 1, at(10));
-    CPPUNIT_ASSERT_EQUAL(std::string("b"), pickedAt(table, 20));
-    CPPUNIT_ASSERT_EQUAL(std::string("a"), pickedAt(table, 500));
-    fail(table, "a", 1, at(500));
-    CPPUNIT_ASSERT_EQUAL(std::string("b"), pickedAt(table, 1'200));
+    failRequests(table, "a", 1, at(0));
+    CPPUNIT_ASSERT_EQUAL(std::string("a"), pickedIdAt(table, 1));
+    failRequests(table, "a", 1, at(10));
+    CPPUNIT_ASSERT_EQUAL(std::string("b"), pickedIdAt(table, 20));
+    CPPUNIT_ASSERT_EQUAL(std::string("a"), pickedIdAt(table, 500));
+    failRequests(table, "a", 1, at(500));
+    CPPUNIT_ASSERT_EQUAL(std::string("b"), pickedIdAt(table, 1'200));
     table.noteDispatched(UpstreamId("a"));
     table.noteEnded(UpstreamId("a"), DispatchResult::answered, at(1'250));
-    CPPUNIT_ASSERT_EQUAL(std::string("a"), pickedAt(table, 1'260));
+    CPPUNIT_ASSERT_EQUAL(std::string("a"), pickedIdAt(table, 1'260));
   }
 
-  /// Two upstreams that can't be reached tell of the others in their domain.
-  void aDomainOutOfReachIsPassedOver() {
+  /// Two unreachable upstreams indicate that their whole failure domain is unreachable.
+  void unreachableDomainIsEjected() {
     UpstreamTable table;
     table.replace(
         std::vector{record("a", "d1"), record("b", "d1"), record("c", "d1"), record("far", "d2")},
@@ -298,18 +300,18 @@
       table.noteEnded(UpstreamId(id), DispatchResult::unreachable, at(ms));
     };
     unreachable("a", 0);
-    CPPUNIT_ASSERT(pickedAt(table, 10) != "far");
+    CPPUNIT_ASSERT(pickedIdAt(table, 10) != "far");
     unreachable("b", 100);
-    CPPUNIT_ASSERT_EQUAL(std::string("far"), pickedAt(table, 110));
-    // It is tried again after a while, and taken back with the first answer.
-    const std::string tried = pickedAt(table, 705);
+    CPPUNIT_ASSERT_EQUAL(std::string("far"), pickedIdAt(table, 110));
+    // The domain is probed after a while, and reinstated with the first response.
+    const std::string tried = pickedIdAt(table, 705);
     CPPUNIT_ASSERT(tried != "far");
     unreachable(tried == "c" ? "c" : "b", 705);
     unreachable("a", 706);
-    CPPUNIT_ASSERT_EQUAL(std::string("far"), pickedAt(table, 710));
+    CPPUNIT_ASSERT_EQUAL(std::string("far"), pickedIdAt(table, 710));
     table.noteDispatched(UpstreamId("a"));
     table.noteEnded(UpstreamId("a"), DispatchResult::answered, at(800));
-    CPPUNIT_ASSERT(pickedAt(table, 810) != "far");
+    CPPUNIT_ASSERT(pickedIdAt(table, 810) != "far");
   }
 
   void usageIsCountedByWindow() {
@@ -326,26 +328,26 @@
 
  private:
   static UpstreamRecord record(const std::string& id, const std::string& domain) {
-    UpstreamRecord made = upstreamAt(id, "127.0.0.1:1");
-    made.domain = DomainName(domain);
-    return made;
+    UpstreamRecord upstream = upstreamAt(id, "127.0.0.1:1");
+    upstream.domain = DomainName(domain);
+    return upstream;
   }
-  static UpstreamCriteria wishFor(const std::string& affinity) {
-    UpstreamCriteria wish;
-    wish.service = ServiceName("s");
-    wish.affinity = affinity;
-    wish.ownDomain = DomainName("d1");
-    wish.requestId = "q";
-    return wish;
+  static UpstreamCriteria criteriaFor(const std::string& affinity) {
+    UpstreamCriteria criteria;
+    criteria.service = ServiceName("s");
+    criteria.affinity = affinity;
+    criteria.ownDomain = DomainName("d1");
+    criteria.requestId = "q";
+    return criteria;
   }
-  static void fail(UpstreamTable& table, const std::string& id, int times, Instant now) {
+  static void failRequests(UpstreamTable& table, const std::string& id, int times, Instant now) {
     for (int i = 0; i < times; ++i) {
       table.noteDispatched(UpstreamId(id));
       table.noteEnded(UpstreamId(id), DispatchResult::broken, now);
     }
   }
-  static std::string pickedAt(const UpstreamTable& table, int ms) {
-    const UpstreamEntry* picked = pickUpstream(table, wishFor(""), at(ms));
+  static std::string pickedIdAt(const UpstreamTable& table, int ms) {
+    const UpstreamEntry* picked = pickUpstream(table, criteriaFor(""), at(ms));
     return picked == nullptr ? "" : picked->record.id.str();
   }
 };
--- a/test/QuotaLedgerTest.cpp
+++ b/test/QuotaLedgerTest.cpp
@@ -27,47 +27,47 @@
 
 class QuotaLedgerTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(QuotaLedgerTest);
-  CPPUNIT_TEST(quotaHoldsAndTellsWhenToComeBack);
-  CPPUNIT_TEST(quotaToleranceBringsNobodyBackEarly);
-  CPPUNIT_TEST(quotaCountsWhatOthersSpend);
-  CPPUNIT_TEST(quotaSpentElsewhereCountsBeforeTheFirstOwnRequest);
-  CPPUNIT_TEST(quotaOfAPartOfTheFleet);
-  CPPUNIT_TEST(quotaHoldsThroughACut);
-  CPPUNIT_TEST(quotaChangesAtOnce);
-  CPPUNIT_TEST(quotaAfterAStartHoldsLittle);
-  CPPUNIT_TEST(quotaOfAnUnknownFleetBringsCallersBackAfterTheMeeting);
+  CPPUNIT_TEST(quotaIsEnforcedWithARetryDelay);
+  CPPUNIT_TEST(quotaToleranceDoesNotShortenRetryDelays);
+  CPPUNIT_TEST(quotaCountsTheSpendingOfPeers);
+  CPPUNIT_TEST(peerSpendingCountsBeforeTheFirstOwnRequest);
+  CPPUNIT_TEST(quotaScalesWithTheLiveFractionOfTheFleet);
+  CPPUNIT_TEST(quotaIsEnforcedThroughAPartition);
+  CPPUNIT_TEST(quotaChangesApplyImmediately);
+  CPPUNIT_TEST(quotaBucketsStartAlmostEmpty);
+  CPPUNIT_TEST(retryDelayCoversPeerDiscovery);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void quotaHoldsAndTellsWhenToComeBack() {
+  void quotaIsEnforcedWithARetryDelay() {
     QuotaLedger ledger(at(-60'000));
     const GatewayOrganisation org = organisation(100, 200);
     CPPUNIT_ASSERT(!ledger.take(org, 150, at(0)));
-    const auto wait = ledger.take(org, 100, at(0));
-    CPPUNIT_ASSERT(wait.has_value());
-    CPPUNIT_ASSERT_EQUAL(Millis::rep{500}, wait->retryDelay.count());
+    const auto shortage = ledger.take(org, 100, at(0));
+    CPPUNIT_ASSERT(shortage.has_value());
+    CPPUNIT_ASSERT_EQUAL(Millis::rep{500}, shortage->retryDelay.count());
     CPPUNIT_ASSERT(!ledger.take(org, 100, at(510)));
     CPPUNIT_ASSERT_EQUAL(250.0, ledger.spent().at(org.name));
     ledger.refund(org.name, 100);
     CPPUNIT_ASSERT(!ledger.take(org, 100, at(510)));
-    // No limit, and a request larger than any bucket.
+    // An organisation without a limit, and a request larger than the bucket.
     CPPUNIT_ASSERT(!ledger.take(organisation(0, 0), 1e9, at(0)));
     CPPUNIT_ASSERT(!ledger.take(org, 10'000, at(10'000)));
     CPPUNIT_ASSERT(ledger.take(org, 1, at(11'000)).has_value());
   }
 
-  /// What the operator tolerates is not there to come back for.
-  void quotaToleranceBringsNobodyBackEarly() {
+  /// The retry delay is the time until the quota itself has room, without the tolerated overdraft.
+  void quotaToleranceDoesNotShortenRetryDelays() {
     QuotaLedger ledger(at(-60'000), {0.1, 72'000, Millis(8'000)});
     ledger.setFleet({6, 1, 1.0 / 6, false, Millis(250)}, at(0));
     const GatewayOrganisation org = organisation(100, 200);
     CPPUNIT_ASSERT(!ledger.take(org, 150, at(0)));
-    const auto wait = ledger.take(org, 100, at(0));
-    CPPUNIT_ASSERT(wait.has_value());
-    CPPUNIT_ASSERT_EQUAL(Millis::rep{500}, wait->retryDelay.count());
+    const auto shortage = ledger.take(org, 100, at(0));
+    CPPUNIT_ASSERT(shortage.has_value());
+    CPPUNIT_ASSERT_EQUAL(Millis::rep{500}, shortage->retryDelay.count());
   }
 
-  void quotaCountsWhatOthersSpend() {
+  void quotaCountsTheSpendingOfPeers() {
     QuotaLedger ledger(at(-60'000));
     const GatewayOrganisation org = organisation(100, 200);
     CPPUNIT_ASSERT(!ledger.take(org, 10, at(0)));
@@ -76,7 +76,7 @@
     CPPUNIT_ASSERT(!ledger.take(org, 10, at(2'200)));
   }
 
-  void quotaSpentElsewhereCountsBeforeTheFirstOwnRequest() {
+  void peerSpendingCountsBeforeTheFirstOwnRequest() {
     const GatewayOrganisation org = organisation(100, 200);
     QuotaLedger ledger(at(-60'000));
     ledger.setOrganisations(std::vector{org}, at(0));
@@ -85,7 +85,7 @@
     CPPUNIT_ASSERT(!ledger.take(org, 10, at(100)));
   }
 
-  void quotaOfAPartOfTheFleet() {
+  void quotaScalesWithTheLiveFractionOfTheFleet() {
     QuotaLedger ledger(at(-60'000));
     const GatewayOrganisation org = organisation(100, 100);
     CPPUNIT_ASSERT(!ledger.take(org, 100, at(0)));
@@ -94,17 +94,18 @@
     CPPUNIT_ASSERT(!ledger.take(org, 50, at(1'000)));
   }
 
-  /// Ten daemons, four of them cut off from all others, callers that ask three times the quota.
-  void quotaHoldsThroughACut() {
+  /// Ten daemons, four of them isolated from all others and from each other, and callers that
+  /// request three times the quota.
+  void quotaIsEnforcedThroughAPartition() {
     constexpr int kDaemons = 10;
-    constexpr int kCutFrom = 2'000;
-    constexpr int kCutTo = 14'000;
-    constexpr int kNoticed = 1'000;
+    constexpr int kPartitionStartMs = 2'000;
+    constexpr int kPartitionEndMs = 14'000;
+    constexpr int kDetectionDelayMs = 1'000;
     const GatewayOrganisation org = organisation(1'000, 1'000);
     std::vector<QuotaLedger> ledgers(kDaemons, QuotaLedger(at(-60'000)));
-    std::vector<double> told(kDaemons, 0);
+    std::vector<double> reported(kDaemons, 0);
     std::vector<std::pair<int, double>> admitted;
-    const auto cut = [&](int i) { return i < 4; };
+    const auto isolated = [&](int i) { return i < 4; };
     const auto spentBy = [&](int i) {
       const auto it = ledgers[i].spent().find(org.name);
       return it == ledgers[i].spent().end() ? 0 : it->second;
@@ -114,26 +115,26 @@
         if (ms % 30 != 3 * i % 30 / 10 * 10) continue;
         if (!ledgers[i].take(org, 9, at(ms))) admitted.emplace_back(ms, 9);
       }
-      const bool apart = ms >= kCutFrom && ms < kCutTo;
-      if (ms == kCutFrom + kNoticed) {
+      const bool partitioned = ms >= kPartitionStartMs && ms < kPartitionEndMs;
+      if (ms == kPartitionStartMs + kDetectionDelayMs) {
         for (int i = 0; i < kDaemons; ++i) {
-          ledgers[i].setFleet({1, cut(i) ? 0.1 : 0.6, {}, false, Millis(0)}, at(ms));
+          ledgers[i].setFleet({1, isolated(i) ? 0.1 : 0.6, {}, false, Millis(0)}, at(ms));
         }
       }
-      if (ms == kCutTo) {
+      if (ms == kPartitionEndMs) {
         for (int i = 0; i < kDaemons; ++i) {
           ledgers[i].setFleet({}, at(ms));
-          told[i] = spentBy(i);
+          reported[i] = spentBy(i);
         }
       }
       if (ms % 200 != 0) continue;
       for (int i = 0; i < kDaemons; ++i) {
-        if (apart && cut(i)) continue;
-        const double more = spentBy(i) - told[i];
-        told[i] += more;
+        if (partitioned && isolated(i)) continue;
+        const double unreported = spentBy(i) - reported[i];
+        reported[i] += unreported;
         for (int j = 0; j < kDaemons; ++j) {
-          if (j == i || (apart && cut(j))) continue;
-          ledgers[j].noteSpentElsewhere(org.name, more, at(ms));
+          if (j == i || (partitioned && isolated(j))) continue;
+          ledgers[j].noteSpentElsewhere(org.name, unreported, at(ms));
         }
       }
     }
@@ -149,7 +150,7 @@
     CPPUNIT_ASSERT_MESSAGE(std::to_string(after), after >= 7'000);
   }
 
-  void quotaChangesAtOnce() {
+  void quotaChangesApplyImmediately() {
     QuotaLedger ledger(at(-60'000));
     CPPUNIT_ASSERT(!ledger.take(organisation(1'000, 1'000), 10, at(0)));
     CPPUNIT_ASSERT(ledger.take(organisation(10, 20), 30, at(10)) == std::nullopt);
@@ -157,8 +158,9 @@
     CPPUNIT_ASSERT(!ledger.take(organisation(1'000, 1'000), 900, at(30)));
   }
 
-  /// All daemons restart twice within a window: their bursts must not add up.
-  void quotaAfterAStartHoldsLittle() {
+  /// All daemons restart twice within a window: the initial levels of their buckets must not add up
+  /// to several bursts.
+  void quotaBucketsStartAlmostEmpty() {
     const GatewayOrganisation org = organisation(100, 1'000);
     double admitted = 0;
     for (const int start : {0, 1'000, 2'000}) {
@@ -174,25 +176,26 @@
     CPPUNIT_ASSERT(!settled.take(org, 1'000, at(0)));
   }
 
-  /// Next to nothing is spent until the others are met, which takes about a second: callers that
-  /// are refused meanwhile were told to come back after up to a hundred times as long as needed.
-  void quotaOfAnUnknownFleetBringsCallersBackAfterTheMeeting() {
+  /// Guards against excessive retry delays during peer discovery. A daemon admits almost nothing
+  /// until it has discovered its peers, which takes about a second; delays computed from that low
+  /// rate were up to a hundred times too long.
+  void retryDelayCoversPeerDiscovery() {
     QuotaLedger ledger(at(0), {0.1, 0, Millis(8'000)});
-    QuotaFleet unmet;
-    unmet.liveFraction = 0.01;
-    unmet.discovering = true;
-    unmet.discoveryTimeLeft = Millis(1'200);
-    ledger.setFleet(unmet, at(0));
+    QuotaFleet undiscovered;
+    undiscovered.liveFraction = 0.01;
+    undiscovered.discovering = true;
+    undiscovered.discoveryTimeLeft = Millis(1'200);
+    ledger.setFleet(undiscovered, at(0));
     const GatewayOrganisation org = organisation(1'000, 2'000);
     const auto refused = ledger.take(org, 500, at(0), 0.5);
     CPPUNIT_ASSERT(refused.has_value());
-    // The meeting, the time in which the whole rate then fills what is missing, and the spread.
+    // Discovery, then the time to refill the missing amount at the full rate, plus the spread.
     CPPUNIT_ASSERT(refused->retryDelay >= Millis(1'200));
     CPPUNIT_ASSERT(refused->retryDelay <= Millis((1'200 + 500) * 3 / 2));
-    // Where the fleet's size is known the own part is what fills.
-    unmet.ownShare = 0.5;
-    unmet.liveFraction = 0.5;
-    ledger.setFleet(unmet, at(0));
+    // If the fleet size is known, the bucket refills at this daemon's share of the rate.
+    undiscovered.ownShare = 0.5;
+    undiscovered.liveFraction = 0.5;
+    ledger.setFleet(undiscovered, at(0));
     CPPUNIT_ASSERT(ledger.take(org, 2'000, at(0), 0)->retryDelay >= Millis(2'000));
   }
 };
--- a/test/RelayTest.cpp
+++ b/test/RelayTest.cpp
@@ -17,7 +17,7 @@
 namespace Events = RelayEvents;
 namespace Actions = RelayActions;
 
-/// Every event that can follow a dispatch, in each form.
+/// Every event that can follow a dispatch, in all variants.
 const std::array<RelayEvent, 10> kEvents{
     Events::NoUpstreamAvailable{},  Events::NotSent{},
     Events::NotExecuted{},          Events::StreamEventReceived{},
@@ -25,129 +25,135 @@
     Events::ConnectionBroken{},     Events::UpstreamSilent{},
     Events::CallerDisconnected{},   Events::DeadlineExceeded{}};
 
-/// Checks one course against the promises while events come in any order.
-class Witness {
+/// Checks the invariants of one RelayStateMachine for events in any order.
+class InvariantChecker {
  public:
-  explicit Witness(RelayPolicy terms) : terms_(terms), course_(terms) { take(Events::Begin{}); }
+  explicit InvariantChecker(RelayPolicy policy) : policy_(policy), stateMachine_(policy) {
+    process(Events::Begin{});
+  }
 
-  bool ended() const { return course_.ended(); }
+  bool ended() const { return stateMachine_.ended(); }
 
-  /// \returns what promise was broken; empty if none was.
-  std::string take(const RelayEvent& event) {
-    const bool wasEnded = course_.ended();
-    noteWorld(event);
-    const std::vector<RelayAction> actions = course_.step(event);
+  /// \returns the violated invariant; empty if there is none.
+  std::string process(const RelayEvent& event) {
+    const bool wasEnded = stateMachine_.ended();
+    recordEvent(event);
+    const std::vector<RelayAction> actions = stateMachine_.step(event);
     if (wasEnded && !actions.empty()) return "actions after the end";
     for (const RelayAction& action : actions) {
-      std::string broken = std::visit([&](const auto& a) { return check(a); }, action);
-      if (!broken.empty()) return broken;
+      std::string violation = std::visit([&](const auto& a) { return check(a); }, action);
+      if (!violation.empty()) return violation;
     }
-    if (!wasEnded && course_.ended() && finals_ == 0 && !callerLeft_) return "no final answer";
-    if (finals_ > 1) return "two final answers";
-    if (callerLeft_ && atWork_) return "the upstream works on for nobody";
+    if (!wasEnded && stateMachine_.ended() && finalResponses_ == 0 && !callerDisconnected_)
+      return "no final response";
+    if (finalResponses_ > 1) return "two final responses";
+    if (callerDisconnected_ && running_)
+      return "the upstream continues after the caller disconnected";
     return {};
   }
 
  private:
-  /// What happened outside, as the upstreams would tell it.
-  void noteWorld(const RelayEvent& event) {
-    if (!atWork_) {
-      if (std::holds_alternative<Events::CallerDisconnected>(event)) callerLeft_ = true;
+  /// Updates the expected state of the upstream and the caller, independently of the state machine.
+  void recordEvent(const RelayEvent& event) {
+    if (!running_) {
+      if (std::holds_alternative<Events::CallerDisconnected>(event)) callerDisconnected_ = true;
       return;
     }
     std::visit(Overloaded{[&](const Events::NotSent&) { endRun(false); },
                           [&](const Events::NotExecuted&) { endRun(false); },
                           [&](const Events::NoUpstreamAvailable&) { endRun(false); },
-                          [&](const Events::ResponseComplete& whole) {
-                            lastWhole_ = true;
-                            lastSuccess_ = whole.success;
+                          [&](const Events::ResponseComplete& response) {
+                            lastComplete_ = true;
+                            lastSuccess_ = response.success;
                             endRun(true);
                           },
                           [&](const Events::ConnectionBroken&) { endRun(true); },
-                          [&](const Events::CallerDisconnected&) { callerLeft_ = true; },
+                          [&](const Events::CallerDisconnected&) { callerDisconnected_ = true; },
                           [&](const auto&) {}},
                event);
   }
   void endRun(bool mayHaveRun) {
-    atWork_ = false;
+    running_ = false;
     if (mayHaveRun) ++runs_;
   }
 
   std::string check(const Actions::Dispatch& action) {
-    if (atWork_) return "two dispatches at once";
-    if (runs_ > 0 && !started_ && !terms_.repeatable) return "what may not repeat is sent again";
-    if (started_ && !terms_.resumable) return "a stream that may not go on is sent again";
-    if (action.resume != started_) return "resumes what has not started, or starts over";
-    if (runs_ >= terms_.maxRuns) return "runs at more upstreams than allowed";
-    if (finals_ > 0) return "dispatched after the answer";
-    if (runs_ > 0 && !action.retry) return "a repeat outside the budget";
-    atWork_ = true;
+    if (running_) return "two dispatches at once";
+    if (runs_ > 0 && !started_ && !policy_.repeatable)
+      return "a request that is not repeatable is sent again";
+    if (started_ && !policy_.resumable) return "a stream that is not resumable is sent again";
+    if (action.resume != started_)
+      return "resumes a stream that has not started, or restarts one that has";
+    if (runs_ >= policy_.maxRuns) return "runs at more than maxRuns upstreams";
+    if (finalResponses_ > 0) return "dispatch after the final response";
+    if (runs_ > 0 && !action.retry) return "a repeated run is not marked as a retry";
+    running_ = true;
     return {};
   }
   std::string check(const Actions::Cancel&) {
-    if (!atWork_) return "cancels what is not at work";
+    if (!running_) return "cancels a request that is not running";
     endRun(true);
     return {};
   }
   std::string check(const Actions::ForwardEvent& action) {
-    if (action.first == started_) return "a head too many or none";
+    if (action.first == started_) return "the response head is missing or sent twice";
     started_ = true;
     return {};
   }
   std::string check(const Actions::EndStream&) {
-    ++finals_;
-    return started_ && lastWhole_ && lastSuccess_ ? "" : "an end that is none";
+    ++finalResponses_;
+    return started_ && lastComplete_ && lastSuccess_ ? "" : "ends a stream that is not complete";
   }
   std::string check(const Actions::ForwardResponse&) {
-    ++finals_;
-    return !started_ && lastWhole_ ? "" : "passes an answer that did not come";
+    ++finalResponses_;
+    return !started_ && lastComplete_ ? "" : "forwards a response that was not received";
   }
   std::string check(const Actions::Refuse&) {
-    ++finals_;
-    if (runs_ > 0 || atWork_) return "promises that nothing ran";
-    return started_ ? "refuses a started answer" : "";
+    ++finalResponses_;
+    if (runs_ > 0 || running_) return "reports that the request did not run, but it may have";
+    return started_ ? "refuses after the response has started" : "";
   }
   std::string check(const Actions::Fail&) {
-    ++finals_;
-    return started_ ? "a second head" : "";
+    ++finalResponses_;
+    return started_ ? "a second response head" : "";
   }
   std::string check(const Actions::AbortStream&) {
-    ++finals_;
-    return started_ ? "" : "breaks off what has not started";
+    ++finalResponses_;
+    return started_ ? "" : "aborts a stream that has not started";
   }
 
-  RelayPolicy terms_;
-  RelayStateMachine course_;
-  bool atWork_ = false;
+  RelayPolicy policy_;
+  RelayStateMachine stateMachine_;
+  bool running_ = false;
   bool started_ = false;
-  bool callerLeft_ = false;
-  bool lastWhole_ = false;
+  bool callerDisconnected_ = false;
+  bool lastComplete_ = false;
   bool lastSuccess_ = false;
   int runs_ = 0;
-  int finals_ = 0;
+  int finalResponses_ = 0;
 };
 
 class RelayTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(RelayTest);
-  CPPUNIT_TEST(everySequenceKeepsThePromises);
+  CPPUNIT_TEST(everySequenceKeepsTheInvariants);
   CPPUNIT_TEST(splitsEventsByTable);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  /// Walks all sequences of events to a fixed depth for all terms.
-  void everySequenceKeepsThePromises() {
+  /// Explores all sequences of events up to a fixed length, for all policies.
+  void everySequenceKeepsTheInvariants() {
     constexpr int kDepth = 6;
-    std::size_t walked = 0;
+    std::size_t steps = 0;
     for (const bool repeatable : {false, true}) {
       for (const bool resumable : {false, true}) {
         for (const int maxRuns : {1, 2, 3}) {
-          // A stream that may go on may also start over.
+          // A resumable request is always repeatable.
           if (resumable && !repeatable) continue;
-          walk(Witness({repeatable, resumable, maxRuns}), "", kDepth, walked);
+          explore(InvariantChecker({repeatable, resumable, maxRuns}), "", kDepth, steps);
         }
       }
     }
-    CPPUNIT_ASSERT(walked > 100'000);
+    CPPUNIT_ASSERT(steps > 100'000);
   }
 
   void splitsEventsByTable() {
@@ -182,19 +188,19 @@
   }
 
  private:
-  static void walk(const Witness& witness, const std::string& path, int depth,
-                   std::size_t& walked) {
+  static void explore(const InvariantChecker& checker, const std::string& path, int depth,
+                      std::size_t& steps) {
     if (depth == 0) return;
     for (std::size_t i = 0; i < kEvents.size(); ++i) {
-      Witness next = witness;
-      std::string here = path;
-      here.append(" ").append(std::to_string(i));
-      ++walked;
-      const std::string broken = next.take(kEvents[i]);
-      std::string told = broken;
-      told.append(" after events").append(here);
-      CPPUNIT_ASSERT_MESSAGE(told, broken.empty());
-      walk(next, here, depth - 1, walked);
+      InvariantChecker next = checker;
+      std::string nextPath = path;
+      nextPath.append(" ").append(std::to_string(i));
+      ++steps;
+      const std::string violation = next.process(kEvents[i]);
+      std::string message = violation;
+      message.append(" after events").append(nextPath);
+      CPPUNIT_ASSERT_MESSAGE(message, violation.empty());
+      explore(next, nextPath, depth - 1, steps);
     }
   }
 };
