--- a/test/AdmissionTest.cpp
+++ b/test/AdmissionTest.cpp
@@ -20,7 +20,7 @@
   return made;
 }
 
-GrantRequest wish(GrantId id, const char* organisation = "o", std::int64_t priority = 5) {
+GrantRequest grantRequest(GrantId id, const char* organisation = "o", std::int64_t priority = 5) {
   GrantRequest made;
   made.id = id;
   made.organisation = OrganisationName(organisation);
@@ -40,7 +40,7 @@
   return ids;
 }
 
-ShardOwner owner(std::size_t count, ShardPolicy policy = {}) {
+ShardOwner makeShard(std::size_t count, ShardPolicy policy = {}) {
   ShardOwner made(policy);
   made.setUpstreams(upstreams(count), kStart);
   return made;
@@ -52,54 +52,56 @@
 
 class AdmissionTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(AdmissionTest);
-  CPPUNIT_TEST(grantsWhileThereIsRoomThenQueues);
-  CPPUNIT_TEST(refusalsAreImmediateAndSayWhenToComeBack);
-  CPPUNIT_TEST(urgentWorkGoesFirstAndWaitingRaises);
-  CPPUNIT_TEST(aFullQueueLetsTheLeastUrgentGo);
+  CPPUNIT_TEST(grantsUpToTheLimitThenQueues);
+  CPPUNIT_TEST(refusalsAreImmediateAndHaveARetryDelay);
+  CPPUNIT_TEST(queueOrdersByPriorityWithAging);
+  CPPUNIT_TEST(fullQueueRefusesTheLowestPriority);
   CPPUNIT_TEST(sharesFollowWeights);
-  CPPUNIT_TEST(aFloodDoesNotAgePastTheOthers);
-  CPPUNIT_TEST(promptsLeftToComputeBoundGrants);
-  CPPUNIT_TEST(limitsOfAnOrganisationHold);
-  CPPUNIT_TEST(leavingUpstreamsGetNothingNew);
-  CPPUNIT_TEST(failuresShunAnUpstreamForAWhile);
-  CPPUNIT_TEST(resumptionsGoBeforeNewWorkAndPastLimits);
-  CPPUNIT_TEST(avoidedUpstreamsAreTakenOnlyAtLast);
-  CPPUNIT_TEST(heldGrantsCount);
-  CPPUNIT_TEST(everyWishGetsOneFinalAction);
-  CPPUNIT_TEST(theBucketPaysItsDebt);
+  CPPUNIT_TEST(floodingOrganisationDoesNotStarveOthersByAging);
+  CPPUNIT_TEST(pendingPrefillTokensLimitGrants);
+  CPPUNIT_TEST(organisationLimitsAreEnforced);
+  CPPUNIT_TEST(drainingUpstreamsGetNoNewGrants);
+  CPPUNIT_TEST(failuresEjectAnUpstreamTemporarily);
+  CPPUNIT_TEST(resumptionsPrecedeNewRequestsAndBypassLimits);
+  CPPUNIT_TEST(failedUpstreamsAreALastResort);
+  CPPUNIT_TEST(restoredGrantsCount);
+  CPPUNIT_TEST(everyRequestGetsOneFinalAction);
+  CPPUNIT_TEST(tokenBucketRepaysItsDebt);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void grantsWhileThereIsRoomThenQueues() {
+  void grantsUpToTheLimitThenQueues() {
     ShardPolicy policy;
     policy.maxInFlightPerUpstream = 2;
-    ShardOwner shard = owner(2, policy);
+    ShardOwner shard = makeShard(2, policy);
     for (GrantId id = 1; id <= 4; ++id) {
       CPPUNIT_ASSERT_EQUAL(std::size_t(1),
-                           idsOf<Granted>(shard.requestGrant(wish(id), kStart)).size());
+                           idsOf<Granted>(shard.requestGrant(grantRequest(id), kStart)).size());
     }
-    CPPUNIT_ASSERT_EQUAL(std::size_t(1), idsOf<Queued>(shard.requestGrant(wish(5), kStart)).size());
+    CPPUNIT_ASSERT_EQUAL(std::size_t(1),
+                         idsOf<Queued>(shard.requestGrant(grantRequest(5), kStart)).size());
     CPPUNIT_ASSERT_EQUAL(std::size_t(2), shard.inFlightAt(UpstreamId("u0")));
-    const auto freed = shard.release(1, GrantEnd::finished, kStart);
-    CPPUNIT_ASSERT(idsOf<Granted>(freed) == std::vector<GrantId>{5});
+    const auto afterRelease = shard.release(1, GrantEnd::finished, kStart);
+    CPPUNIT_ASSERT(idsOf<Granted>(afterRelease) == std::vector<GrantId>{5});
   }
 
-  void refusalsAreImmediateAndSayWhenToComeBack() {
+  void refusalsAreImmediateAndHaveARetryDelay() {
     ShardPolicy policy;
     policy.maxInFlightPerUpstream = 1;
     policy.maxQueue = 1;
-    ShardOwner shard = owner(1, policy);
-    shard.requestGrant(wish(1), kStart);
-    shard.requestGrant(wish(2), kStart);
+    ShardOwner shard = makeShard(1, policy);
+    shard.requestGrant(grantRequest(1), kStart);
+    shard.requestGrant(grantRequest(2), kStart);
     struct Case {
-      GrantRequest wanted;
+      GrantRequest request;
       RefusalReason reason;
     };
-    GrantRequest late = wish(4);
-    late.deadline = kStart;
-    const Case cases[] = {{wish(3), RefusalReason::overloaded}, {late, RefusalReason::overloaded}};
+    GrantRequest pastDeadline = grantRequest(4);
+    pastDeadline.deadline = kStart;
+    const Case cases[] = {{grantRequest(3), RefusalReason::overloaded},
+                          {pastDeadline, RefusalReason::overloaded}};
     for (const Case& c : cases) {
-      const auto actions = shard.requestGrant(c.wanted, kStart);
+      const auto actions = shard.requestGrant(c.request, kStart);
       CPPUNIT_ASSERT(reasonOf(actions) == c.reason);
       const Refusal& refusal = std::get<GrantRefused>(actions.front()).refusal;
       CPPUNIT_ASSERT(refusal.retryAfter && *refusal.retryAfter >= Millis(100));
@@ -107,44 +109,45 @@
     }
     const auto expired = shard.tick(kStart + Millis(5'000));
     CPPUNIT_ASSERT(idsOf<GrantRefused>(expired) == std::vector<GrantId>{2});
-    ShardOwner empty = owner(0);
-    CPPUNIT_ASSERT(reasonOf(empty.requestGrant(wish(9), kStart)) == RefusalReason::noUpstream);
+    ShardOwner empty = makeShard(0);
+    CPPUNIT_ASSERT(reasonOf(empty.requestGrant(grantRequest(9), kStart)) ==
+                   RefusalReason::noUpstream);
   }
 
-  void urgentWorkGoesFirstAndWaitingRaises() {
+  void queueOrdersByPriorityWithAging() {
     struct Case {
-      Millis patientWaits;
+      Millis patientWaitTime;
       GrantId first;
     };
-    // Aging is a step a second: nine steps apart, nine seconds even out.
+    // Aging raises the priority by one step per second, so nine seconds make up for nine steps.
     for (const Case& c : {Case{Millis(0), 3}, Case{Millis(8'000), 3}, Case{Millis(9'500), 2}}) {
       ShardPolicy policy;
       policy.maxInFlightPerUpstream = 1;
-      ShardOwner shard = owner(1, policy);
-      shard.requestGrant(wish(1), kStart);
-      GrantRequest patient = wish(2, "o", 0);
+      ShardOwner shard = makeShard(1, policy);
+      shard.requestGrant(grantRequest(1), kStart);
+      GrantRequest patient = grantRequest(2, "o", 0);
       patient.deadline = kStart + Millis(60'000);
       shard.requestGrant(patient, kStart);
-      GrantRequest urgent = wish(3, "o", 9);
+      GrantRequest urgent = grantRequest(3, "o", 9);
       urgent.deadline = kStart + Millis(60'000);
-      shard.requestGrant(urgent, kStart + c.patientWaits);
-      const auto freed = shard.release(1, GrantEnd::finished, kStart + c.patientWaits);
-      CPPUNIT_ASSERT(idsOf<Granted>(freed) == std::vector<GrantId>{c.first});
+      shard.requestGrant(urgent, kStart + c.patientWaitTime);
+      const auto afterRelease = shard.release(1, GrantEnd::finished, kStart + c.patientWaitTime);
+      CPPUNIT_ASSERT(idsOf<Granted>(afterRelease) == std::vector<GrantId>{c.first});
     }
   }
 
-  void aFullQueueLetsTheLeastUrgentGo() {
+  void fullQueueRefusesTheLowestPriority() {
     ShardPolicy policy;
     policy.maxInFlightPerUpstream = 1;
     policy.maxQueue = 2;
-    ShardOwner shard = owner(1, policy);
-    shard.requestGrant(wish(1), kStart);
-    shard.requestGrant(wish(2, "o", 1), kStart);
-    shard.requestGrant(wish(3, "o", 5), kStart);
-    const auto urgent = shard.requestGrant(wish(4, "o", 9), kStart);
+    ShardOwner shard = makeShard(1, policy);
+    shard.requestGrant(grantRequest(1), kStart);
+    shard.requestGrant(grantRequest(2, "o", 1), kStart);
+    shard.requestGrant(grantRequest(3, "o", 5), kStart);
+    const auto urgent = shard.requestGrant(grantRequest(4, "o", 9), kStart);
     CPPUNIT_ASSERT(idsOf<GrantRefused>(urgent) == std::vector<GrantId>{2});
     CPPUNIT_ASSERT(idsOf<Queued>(urgent) == std::vector<GrantId>{4});
-    const auto patient = shard.requestGrant(wish(5, "o", 1), kStart);
+    const auto patient = shard.requestGrant(grantRequest(5, "o", 1), kStart);
     CPPUNIT_ASSERT(idsOf<GrantRefused>(patient) == std::vector<GrantId>{5});
   }
 
@@ -152,18 +155,18 @@
     ShardPolicy policy;
     policy.maxInFlightPerUpstream = 1;
     policy.maxQueue = 1'000;
-    ShardOwner shard = owner(1, policy);
+    ShardOwner shard = makeShard(1, policy);
     GrantId id = 1;
-    shard.requestGrant(wish(id++), kStart);
+    shard.requestGrant(grantRequest(id++), kStart);
     std::map<GrantId, std::string> senders;
-    // A sends ten times as much as B, and B weighs three times as much.
+    // A sends ten times as many requests as B, and B has three times the weight.
     for (int i = 0; i < 200; ++i) {
       const bool isB = i % 11 == 0;
-      GrantRequest wanted = wish(id, isB ? "B" : "A");
-      wanted.weight = isB ? 3 : 1;
-      wanted.deadline = kStart + Millis(600'000);
+      GrantRequest request = grantRequest(id, isB ? "B" : "A");
+      request.weight = isB ? 3 : 1;
+      request.deadline = kStart + Millis(600'000);
       senders[id] = isB ? "B" : "A";
-      shard.requestGrant(wanted, kStart);
+      shard.requestGrant(request, kStart);
       ++id;
     }
     std::map<std::string, int> served;
@@ -176,166 +179,176 @@
     CPPUNIT_ASSERT_EQUAL(18, served["B"]);
   }
 
-  void aFloodDoesNotAgePastTheOthers() {
+  void floodingOrganisationDoesNotStarveOthersByAging() {
     ShardPolicy policy;
     policy.maxInFlightPerUpstream = 1;
     policy.maxQueue = 50;
-    ShardOwner shard = owner(1, policy);
-    const auto big = [](GrantId id, const char* organisation) {
-      GrantRequest wanted = wish(id, organisation);
-      wanted.promptTokens = 30'000;
-      wanted.deadline = kStart + Millis(600'000);
-      return wanted;
+    ShardOwner shard = makeShard(1, policy);
+    const auto largeRequest = [](GrantId id, const char* organisation) {
+      GrantRequest request = grantRequest(id, organisation);
+      request.promptTokens = 30'000;
+      request.deadline = kStart + Millis(600'000);
+      return request;
     };
-    shard.requestGrant(big(1, "flood"), kStart);
-    for (GrantId id = 2; id <= 51; ++id) shard.requestGrant(big(id, "flood"), kStart);
-    // Half a minute later the flood's wishes are old, and the queue is full of them.
+    shard.requestGrant(largeRequest(1, "flood"), kStart);
+    for (GrantId id = 2; id <= 51; ++id) shard.requestGrant(largeRequest(id, "flood"), kStart);
+    // Half a minute later the queue is full of aged requests of the flooding organisation.
     const Instant later = kStart + Millis(30'000);
     shard.release(1, GrantEnd::finished, later);
-    shard.requestGrant(big(98, "flood"), later);
-    const auto other = shard.requestGrant(big(99, "other"), later);
+    shard.requestGrant(largeRequest(98, "flood"), later);
+    const auto other = shard.requestGrant(largeRequest(99, "other"), later);
     CPPUNIT_ASSERT(idsOf<Queued>(other) == std::vector<GrantId>{99});
     CPPUNIT_ASSERT_EQUAL(std::size_t(1), idsOf<GrantRefused>(other).size());
-    const auto freed = shard.release(2, GrantEnd::finished, later);
-    CPPUNIT_ASSERT(idsOf<Granted>(freed) == std::vector<GrantId>{99});
+    const auto afterRelease = shard.release(2, GrantEnd::finished, later);
+    CPPUNIT_ASSERT(idsOf<Granted>(afterRelease) == std::vector<GrantId>{99});
   }
 
-  void promptsLeftToComputeBoundGrants() {
+  void pendingPrefillTokensLimitGrants() {
     ShardPolicy policy;
     policy.maxPrefillTokensPerUpstream = 100;
-    ShardOwner shard = owner(1, policy);
-    GrantRequest wanted = wish(1);
-    wanted.promptTokens = 400;
-    // One prompt over the limit is still granted, the next one waits for its first token.
-    CPPUNIT_ASSERT_EQUAL(std::size_t(1), idsOf<Granted>(shard.requestGrant(wanted, kStart)).size());
-    CPPUNIT_ASSERT_EQUAL(std::size_t(1), idsOf<Queued>(shard.requestGrant(wish(2), kStart)).size());
+    ShardOwner shard = makeShard(1, policy);
+    GrantRequest request = grantRequest(1);
+    request.promptTokens = 400;
+    // A single prompt above the limit is still granted; the next one waits for its first token.
+    CPPUNIT_ASSERT_EQUAL(std::size_t(1),
+                         idsOf<Granted>(shard.requestGrant(request, kStart)).size());
+    CPPUNIT_ASSERT_EQUAL(std::size_t(1),
+                         idsOf<Queued>(shard.requestGrant(grantRequest(2), kStart)).size());
     CPPUNIT_ASSERT(idsOf<Granted>(shard.noteFirstToken(1, kStart)) == std::vector<GrantId>{2});
     shard.noteFirstToken(1, kStart);
     CPPUNIT_ASSERT_EQUAL(std::size_t(1),
-                         idsOf<Granted>(shard.requestGrant(wish(3), kStart)).size());
+                         idsOf<Granted>(shard.requestGrant(grantRequest(3), kStart)).size());
   }
 
-  void limitsOfAnOrganisationHold() {
+  void organisationLimitsAreEnforced() {
     ShardPolicy policy;
     policy.organisationInFlight = 2;
-    ShardOwner shard = owner(4, policy);
-    shard.requestGrant(wish(1), kStart);
-    shard.requestGrant(wish(2), kStart);
-    CPPUNIT_ASSERT(reasonOf(shard.requestGrant(wish(3), kStart)) ==
+    ShardOwner shard = makeShard(4, policy);
+    shard.requestGrant(grantRequest(1), kStart);
+    shard.requestGrant(grantRequest(2), kStart);
+    CPPUNIT_ASSERT(reasonOf(shard.requestGrant(grantRequest(3), kStart)) ==
                    RefusalReason::organisationLimit);
     CPPUNIT_ASSERT_EQUAL(std::size_t(1),
-                         idsOf<Granted>(shard.requestGrant(wish(4, "p"), kStart)).size());
+                         idsOf<Granted>(shard.requestGrant(grantRequest(4, "p"), kStart)).size());
     shard.release(1, GrantEnd::finished, kStart);
     CPPUNIT_ASSERT_EQUAL(std::size_t(1),
-                         idsOf<Granted>(shard.requestGrant(wish(5), kStart)).size());
+                         idsOf<Granted>(shard.requestGrant(grantRequest(5), kStart)).size());
   }
 
-  void leavingUpstreamsGetNothingNew() {
-    ShardOwner shard = owner(2);
+  void drainingUpstreamsGetNoNewGrants() {
+    ShardOwner shard = makeShard(2);
     shard.markDraining(UpstreamId("u0"), kStart);
     for (GrantId id = 1; id <= 6; ++id) {
-      const auto actions = shard.requestGrant(wish(id), kStart);
+      const auto actions = shard.requestGrant(grantRequest(id), kStart);
       CPPUNIT_ASSERT(std::get<Granted>(actions.front()).upstream == UpstreamId("u1"));
     }
-    // A list that names it again does not bring it back.
+    // A listing that contains it again does not end its draining.
     shard.setUpstreams(upstreams(2), kStart);
-    CPPUNIT_ASSERT(std::get<Granted>(shard.requestGrant(wish(7), kStart).front()).upstream ==
-                   UpstreamId("u1"));
+    CPPUNIT_ASSERT(
+        std::get<Granted>(shard.requestGrant(grantRequest(7), kStart).front()).upstream ==
+        UpstreamId("u1"));
     const auto actions = shard.markDraining(UpstreamId("u1"), kStart);
     CPPUNIT_ASSERT(actions.empty());
-    CPPUNIT_ASSERT(reasonOf(shard.requestGrant(wish(8), kStart)) == RefusalReason::noUpstream);
+    CPPUNIT_ASSERT(reasonOf(shard.requestGrant(grantRequest(8), kStart)) ==
+                   RefusalReason::noUpstream);
   }
 
-  void failuresShunAnUpstreamForAWhile() {
-    ShardOwner shard = owner(1);
-    shard.requestGrant(wish(1), kStart);
+  void failuresEjectAnUpstreamTemporarily() {
+    ShardOwner shard = makeShard(1);
+    shard.requestGrant(grantRequest(1), kStart);
     shard.release(1, GrantEnd::connectFailed, kStart);
-    CPPUNIT_ASSERT(reasonOf(shard.requestGrant(wish(2), kStart + Millis(499))) ==
+    CPPUNIT_ASSERT(reasonOf(shard.requestGrant(grantRequest(2), kStart + Millis(499))) ==
                    RefusalReason::noUpstream);
     const Instant later = kStart + Millis(500);
-    CPPUNIT_ASSERT_EQUAL(std::size_t(1), idsOf<Granted>(shard.requestGrant(wish(3), later)).size());
-    // Until it has proved itself, it gets one at a time.
-    CPPUNIT_ASSERT_EQUAL(std::size_t(1), idsOf<Queued>(shard.requestGrant(wish(4), later)).size());
-    const auto freed = shard.release(3, GrantEnd::finished, later);
-    CPPUNIT_ASSERT(idsOf<Granted>(freed) == std::vector<GrantId>{4});
-    CPPUNIT_ASSERT_EQUAL(std::size_t(1), idsOf<Granted>(shard.requestGrant(wish(5), later)).size());
+    CPPUNIT_ASSERT_EQUAL(std::size_t(1),
+                         idsOf<Granted>(shard.requestGrant(grantRequest(3), later)).size());
+    // Until its first success it gets one request at a time.
+    CPPUNIT_ASSERT_EQUAL(std::size_t(1),
+                         idsOf<Queued>(shard.requestGrant(grantRequest(4), later)).size());
+    const auto afterRelease = shard.release(3, GrantEnd::finished, later);
+    CPPUNIT_ASSERT(idsOf<Granted>(afterRelease) == std::vector<GrantId>{4});
+    CPPUNIT_ASSERT_EQUAL(std::size_t(1),
+                         idsOf<Granted>(shard.requestGrant(grantRequest(5), later)).size());
   }
 
-  void resumptionsGoBeforeNewWorkAndPastLimits() {
+  void resumptionsPrecedeNewRequestsAndBypassLimits() {
     ShardPolicy policy;
     policy.maxInFlightPerUpstream = 1;
     policy.organisationInFlight = 1;
-    ShardOwner shard = owner(1, policy);
-    shard.requestGrant(wish(1), kStart);
-    shard.requestGrant(wish(2, "p", 9), kStart);
-    GrantRequest resumed = wish(3, "o", 0);
+    ShardOwner shard = makeShard(1, policy);
+    shard.requestGrant(grantRequest(1), kStart);
+    shard.requestGrant(grantRequest(2, "p", 9), kStart);
+    GrantRequest resumed = grantRequest(3, "o", 0);
     resumed.resumption = true;
     CPPUNIT_ASSERT_EQUAL(std::size_t(1), idsOf<Queued>(shard.requestGrant(resumed, kStart)).size());
-    const auto freed = shard.release(1, GrantEnd::finished, kStart);
-    CPPUNIT_ASSERT(idsOf<Granted>(freed) == std::vector<GrantId>{3});
+    const auto afterRelease = shard.release(1, GrantEnd::finished, kStart);
+    CPPUNIT_ASSERT(idsOf<Granted>(afterRelease) == std::vector<GrantId>{3});
   }
 
-  void avoidedUpstreamsAreTakenOnlyAtLast() {
-    ShardOwner shard = owner(2);
-    GrantRequest wanted = wish(1);
-    wanted.failedUpstreams = {UpstreamId("u0")};
-    CPPUNIT_ASSERT(std::get<Granted>(shard.requestGrant(wanted, kStart).front()).upstream ==
+  void failedUpstreamsAreALastResort() {
+    ShardOwner shard = makeShard(2);
+    GrantRequest request = grantRequest(1);
+    request.failedUpstreams = {UpstreamId("u0")};
+    CPPUNIT_ASSERT(std::get<Granted>(shard.requestGrant(request, kStart).front()).upstream ==
                    UpstreamId("u1"));
-    wanted.id = 2;
-    wanted.failedUpstreams = upstreams(2);
-    CPPUNIT_ASSERT_EQUAL(std::size_t(1), idsOf<Granted>(shard.requestGrant(wanted, kStart)).size());
+    request.id = 2;
+    request.failedUpstreams = upstreams(2);
+    CPPUNIT_ASSERT_EQUAL(std::size_t(1),
+                         idsOf<Granted>(shard.requestGrant(request, kStart)).size());
   }
 
-  void heldGrantsCount() {
+  void restoredGrantsCount() {
     ShardPolicy policy;
     policy.maxInFlightPerUpstream = 1;
-    ShardOwner shard = owner(1, policy);
+    ShardOwner shard = makeShard(1, policy);
     shard.hold({50, UpstreamId("u0"), OrganisationName("o"), 20});
-    CPPUNIT_ASSERT_EQUAL(std::size_t(1), idsOf<Queued>(shard.requestGrant(wish(1), kStart)).size());
-    const auto freed = shard.release(50, GrantEnd::finished, kStart);
-    CPPUNIT_ASSERT(idsOf<Granted>(freed) == std::vector<GrantId>{1});
-    // One at an upstream that is not known here is counted and asks for nothing more.
+    CPPUNIT_ASSERT_EQUAL(std::size_t(1),
+                         idsOf<Queued>(shard.requestGrant(grantRequest(1), kStart)).size());
+    const auto afterRelease = shard.release(50, GrantEnd::finished, kStart);
+    CPPUNIT_ASSERT(idsOf<Granted>(afterRelease) == std::vector<GrantId>{1});
+    // A grant at an unknown upstream is counted and needs no further action.
     shard.hold({51, UpstreamId("gone"), OrganisationName("o"), 20});
     CPPUNIT_ASSERT_EQUAL(std::size_t(1), shard.inFlightAt(UpstreamId("gone")));
     shard.release(51, GrantEnd::finished, kStart);
   }
 
-  void everyWishGetsOneFinalAction() {
+  void everyRequestGetsOneFinalAction() {
     std::mt19937 random(7);
     ShardPolicy policy;
     policy.maxInFlightPerUpstream = 2;
     policy.maxQueue = 5;
-    ShardOwner shard = owner(3, policy);
-    std::map<GrantId, int> finals;
+    ShardOwner shard = makeShard(3, policy);
+    std::map<GrantId, int> finalActions;
     std::vector<GrantId> running;
     Instant now = kStart;
-    const auto note = [&](const std::vector<GrantAction>& actions) {
+    const auto recordActions = [&](const std::vector<GrantAction>& actions) {
       for (const GrantId id : idsOf<Granted>(actions)) {
-        ++finals[id];
+        ++finalActions[id];
         running.push_back(id);
       }
-      for (const GrantId id : idsOf<GrantRefused>(actions)) ++finals[id];
+      for (const GrantId id : idsOf<GrantRefused>(actions)) ++finalActions[id];
     };
     for (GrantId id = 1; id <= 3'000; ++id) {
       now += Millis(random() % 20);
-      GrantRequest wanted = wish(id, random() % 3 == 0 ? "a" : "b", random() % 10);
-      wanted.deadline = now + Millis(random() % 100);
-      note(shard.requestGrant(wanted, now));
+      GrantRequest request = grantRequest(id, random() % 3 == 0 ? "a" : "b", random() % 10);
+      request.deadline = now + Millis(random() % 100);
+      recordActions(shard.requestGrant(request, now));
       while (!running.empty() && random() % 2 == 0) {
         const std::size_t index = random() % running.size();
         const GrantId done = running[index];
         running.erase(running.begin() + static_cast<std::ptrdiff_t>(index));
-        note(shard.release(done, random() % 9 == 0 ? GrantEnd::broke : GrantEnd::finished, now));
+        recordActions(
+            shard.release(done, random() % 9 == 0 ? GrantEnd::broke : GrantEnd::finished, now));
       }
-      note(shard.tick(now));
+      recordActions(shard.tick(now));
       CPPUNIT_ASSERT(shard.inFlight() == running.size());
     }
-    note(shard.tick(now + Millis(1'000)));
-    CPPUNIT_ASSERT_EQUAL(std::size_t(3'000), finals.size());
-    for (const auto& [id, count] : finals) CPPUNIT_ASSERT_EQUAL(1, count);
+    recordActions(shard.tick(now + Millis(1'000)));
+    CPPUNIT_ASSERT_EQUAL(std::size_t(3'000), finalActions.size());
+    for (const auto& [id, count] : finalActions) CPPUNIT_ASSERT_EQUAL(1, count);
   }
 
-  void theBucketPaysItsDebt() {
+  void tokenBucketRepaysItsDebt() {
     TokenBucket bucket;
     bucket.setRate(100, kStart);
     CPPUNIT_ASSERT(bucket.take(300, kStart) == Millis(0));
--- a/test/CapacityTest.cpp
+++ b/test/CapacityTest.cpp
@@ -21,10 +21,11 @@
   return kStart + Millis(ms);
 }
 
-/// A platform that carries out orders at once, and the planner that gives them.
-class Market {
+/// A platform that carries out orders immediately unless a boot time is set, and the planner that
+/// issues them.
+class SimulatedPlatform {
  public:
-  explicit Market(std::uint32_t onDemandEach) {
+  explicit SimulatedPlatform(std::uint32_t onDemandPerDomain) {
     service_.name = kService;
     ReplicaLimits limits;
     limits.least = 1;
@@ -33,20 +34,20 @@
     limits.domainPrices = {{DomainName("a"), 0.8}, {DomainName("b"), 1.2}, {DomainName("c"), 1.0}};
     service_.replicas = limits;
     for (const char* domain : {"a", "b", "c"}) {
-      count_[{kService, DomainName(domain), false}] = onDemandEach;
-      count_[{kService, DomainName(domain), true}] = 0;
+      counts_[{kService, DomainName(domain), false}] = onDemandPerDomain;
+      counts_[{kService, DomainName(domain), true}] = 0;
     }
   }
 
-  /// One turn of the planner. \returns how many orders it gave.
-  std::size_t turn(std::uint32_t load, int ms) {
+  /// Runs the planner once. \returns the number of orders it issued.
+  std::size_t planOnce(std::uint32_t load, int ms) {
     for (auto it = booting_.begin(); it != booting_.end();) {
       const auto& [group, boot] = *it;
-      if (at(ms) >= boot.ready) count_[group] = boot.count;
+      if (at(ms) >= boot.ready) counts_[group] = boot.count;
       it = at(ms) >= boot.ready ? booting_.erase(it) : std::next(it);
     }
     std::vector<UpstreamRecord> upstreams;
-    for (const auto& [group, count] : count_) {
+    for (const auto& [group, count] : counts_) {
       for (std::uint32_t i = 0; i < count; ++i) {
         UpstreamRecord record;
         record.service = group.service;
@@ -59,49 +60,51 @@
     const CapacityView view{services, upstreams, {{kService, load}}, quotaTokens_};
     const std::vector<ReplicaOrder> orders = planner_.plan(view, at(ms));
     for (const ReplicaOrder& order : orders) {
-      if (dry_.contains(order.group.domain.str()) && order.group.reclaimable) {
+      if (exhausted_.contains(order.group.domain.str()) && order.group.reclaimable) {
         planner_.noteRefused(order.group, at(ms));
         continue;
       }
       CPPUNIT_ASSERT(order.count <= 6);
       planner_.noteOrdered(order);
-      const bool more = order.count > count_[order.group];
-      if (more && boots(order.group)) {
-        booting_[order.group] = {order.count, at(ms) + boot_};
+      const bool increase = order.count > counts_[order.group];
+      if (increase && needsBoot(order.group)) {
+        booting_[order.group] = {order.count, at(ms) + bootTime_};
       } else {
         booting_.erase(order.group);
-        count_[order.group] = order.count;
+        counts_[order.group] = order.count;
       }
     }
     return orders.size();
   }
-  void settle(std::uint32_t load, int from, int to) {
-    for (int ms = from; ms < to; ms += 250) turn(load, ms);
+  void planRepeatedly(std::uint32_t load, int from, int to) {
+    for (int ms = from; ms < to; ms += 250) planOnce(load, ms);
   }
-  std::uint32_t of(const std::string& domain, bool reclaimable) const {
-    return count_.at({kService, DomainName(domain), reclaimable});
+  std::uint32_t replicasIn(const std::string& domain, bool reclaimable) const {
+    return counts_.at({kService, DomainName(domain), reclaimable});
   }
-  std::uint32_t all(bool reclaimable) const {
-    return of("a", reclaimable) + of("b", reclaimable) + of("c", reclaimable);
+  std::uint32_t totalReplicas(bool reclaimable) const {
+    return replicasIn("a", reclaimable) + replicasIn("b", reclaimable) +
+           replicasIn("c", reclaimable);
   }
   void reclaim(const std::string& domain) {
-    count_[{kService, DomainName(domain), true}] = 0;
-    dry_.insert(domain);
+    counts_[{kService, DomainName(domain), true}] = 0;
+    exhausted_.insert(domain);
   }
-  void supply(const std::string& domain) { dry_.erase(domain); }
-  /// How long replicas boot from now on, at least. \param onDemandAtOnce only reclaimable ones.
-  void setBoot(Millis boot, bool onDemandAtOnce = false) {
-    boot_ = boot_ > boot ? boot_ : boot;
+  void restoreCapacity(const std::string& domain) { exhausted_.erase(domain); }
+  /// Raises the boot time of new replicas to at least \p boot.
+  /// \param onDemandImmediately whether on-demand replicas start without a boot time.
+  void setBootTime(Millis boot, bool onDemandImmediately = false) {
+    bootTime_ = bootTime_ > boot ? bootTime_ : boot;
     service_.replicas->boot = Millis(4'000);
-    onDemandAtOnce_ = onDemandAtOnce;
+    onDemandImmediately_ = onDemandImmediately;
   }
-  void replaceHolder() {
+  void takeOver() {
     planner_ = ReplicaPlanner(CapacityPolicy{});
     planner_.resetOrders(true);
   }
-  void appear(std::uint32_t onDemandEach) {
-    for (auto& [group, count] : count_) {
-      if (!group.reclaimable) count = onDemandEach;
+  void registerOnDemand(std::uint32_t onDemandPerDomain) {
+    for (auto& [group, count] : counts_) {
+      if (!group.reclaimable) count = onDemandPerDomain;
     }
   }
   void setQuotaTokens(double tokens) { quotaTokens_ = tokens; }
@@ -112,141 +115,143 @@
     Instant ready{};
   };
 
-  bool boots(const ReplicaGroup& group) const {
-    return boot_ > Millis(0) && (group.reclaimable || !onDemandAtOnce_);
+  bool needsBoot(const ReplicaGroup& group) const {
+    return bootTime_ > Millis(0) && (group.reclaimable || !onDemandImmediately_);
   }
 
   GatewayService service_;
-  std::map<ReplicaGroup, std::uint32_t> count_;
+  std::map<ReplicaGroup, std::uint32_t> counts_;
   std::map<ReplicaGroup, Booting> booting_;
-  Millis boot_{0};
-  bool onDemandAtOnce_ = false;
-  std::set<std::string> dry_;
+  Millis bootTime_{0};
+  bool onDemandImmediately_ = false;
+  std::set<std::string> exhausted_;
   ReplicaPlanner planner_{CapacityPolicy{}};
   double quotaTokens_ = 0;
 };
 
 class CapacityTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(CapacityTest);
-  CPPUNIT_TEST(reclaimableOnesTakeOver);
-  CPPUNIT_TEST(theLossOfADomainLeavesEnough);
-  CPPUNIT_TEST(ordersAreFewWhenNothingChanges);
-  CPPUNIT_TEST(capacityFollowsTheLoadAndStaysAWhile);
-  CPPUNIT_TEST(beforeTheFirstLoadTheQuotasTell);
-  CPPUNIT_TEST(aDirectoryThatFillsSlowlyIsNoSmallFleet);
-  CPPUNIT_TEST(whatWasOrderedIsNoSmallestSize);
-  CPPUNIT_TEST(aNewHolderKeepsWhatItFinds);
-  CPPUNIT_TEST(onDemandOnesDoNotStandInForOnesThatBoot);
-  CPPUNIT_TEST(onDemandOnesStandInForOnesThatNeverCame);
+  CPPUNIT_TEST(reclaimableReplicasReplaceOnDemandOnes);
+  CPPUNIT_TEST(enoughReplicasRemainAfterTheLossOfADomain);
+  CPPUNIT_TEST(noOrdersWhileNothingChanges);
+  CPPUNIT_TEST(capacityFollowsTheLoadAndScalesDownLater);
+  CPPUNIT_TEST(initialCapacityFollowsTheQuotas);
+  CPPUNIT_TEST(replicasThatRegisterLateCountAsInitial);
+  CPPUNIT_TEST(orderedReplicasDoNotRaiseTheInitialNeed);
+  CPPUNIT_TEST(newHolderKeepsTheExistingReplicas);
+  CPPUNIT_TEST(onDemandReplicasAreNotOrderedWhileReclaimableOnesBoot);
+  CPPUNIT_TEST(onDemandReplicasReplaceReclaimableOnesThatNeverBoot);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void reclaimableOnesTakeOver() {
-    Market market(3);
-    market.turn(20, 0);
-    // Nothing on demand goes before others are there.
-    CPPUNIT_ASSERT(market.all(false) >= 3);
-    market.settle(20, 250, 2'000);
-    CPPUNIT_ASSERT_EQUAL(1U, market.all(false));
-    CPPUNIT_ASSERT_EQUAL(1U, market.of("a", false));
-    CPPUNIT_ASSERT_EQUAL(6U, market.all(true));
-  }
-
-  void theLossOfADomainLeavesEnough() {
-    Market market(3);
-    market.settle(20, 0, 2'000);
-    market.reclaim("b");
-    CPPUNIT_ASSERT(market.all(true) + market.all(false) >= 3);
-    market.settle(20, 2'000, 4'000);
-    CPPUNIT_ASSERT_EQUAL(0U, market.of("b", true));
-    // The domain's least number holds with one on demand.
-    CPPUNIT_ASSERT_EQUAL(1U, market.of("b", false));
-    CPPUNIT_ASSERT_EQUAL(4U, market.all(true));
-    // What was taken away is ordered again after a while.
-    market.supply("b");
-    market.settle(20, 4'000, 20'000);
-    CPPUNIT_ASSERT_EQUAL(6U, market.all(true));
-    CPPUNIT_ASSERT_EQUAL(1U, market.all(false));
-  }
-
-  void ordersAreFewWhenNothingChanges() {
-    Market market(3);
-    market.settle(20, 0, 4'000);
+  void reclaimableReplicasReplaceOnDemandOnes() {
+    SimulatedPlatform platform(3);
+    platform.planOnce(20, 0);
+    // No on-demand replica is removed before reclaimable ones have replaced it.
+    CPPUNIT_ASSERT(platform.totalReplicas(false) >= 3);
+    platform.planRepeatedly(20, 250, 2'000);
+    CPPUNIT_ASSERT_EQUAL(1U, platform.totalReplicas(false));
+    CPPUNIT_ASSERT_EQUAL(1U, platform.replicasIn("a", false));
+    CPPUNIT_ASSERT_EQUAL(6U, platform.totalReplicas(true));
+  }
+
+  void enoughReplicasRemainAfterTheLossOfADomain() {
+    SimulatedPlatform platform(3);
+    platform.planRepeatedly(20, 0, 2'000);
+    platform.reclaim("b");
+    CPPUNIT_ASSERT(platform.totalReplicas(true) + platform.totalReplicas(false) >= 3);
+    platform.planRepeatedly(20, 2'000, 4'000);
+    CPPUNIT_ASSERT_EQUAL(0U, platform.replicasIn("b", true));
+    // An on-demand replica keeps the domain at its minimum.
+    CPPUNIT_ASSERT_EQUAL(1U, platform.replicasIn("b", false));
+    CPPUNIT_ASSERT_EQUAL(4U, platform.totalReplicas(true));
+    // Reclaimed replicas are ordered again after a while.
+    platform.restoreCapacity("b");
+    platform.planRepeatedly(20, 4'000, 20'000);
+    CPPUNIT_ASSERT_EQUAL(6U, platform.totalReplicas(true));
+    CPPUNIT_ASSERT_EQUAL(1U, platform.totalReplicas(false));
+  }
+
+  void noOrdersWhileNothingChanges() {
+    SimulatedPlatform platform(3);
+    platform.planRepeatedly(20, 0, 4'000);
     std::size_t orders = 0;
-    for (int ms = 4'000; ms < 40'000; ms += 250) orders += market.turn(20, ms);
+    for (int ms = 4'000; ms < 40'000; ms += 250) orders += platform.planOnce(20, ms);
     CPPUNIT_ASSERT_EQUAL(std::size_t{0}, orders);
   }
 
-  void capacityFollowsTheLoadAndStaysAWhile() {
-    Market market(3);
-    market.settle(20, 0, 2'000);
-    market.settle(80, 2'000, 3'000);
-    CPPUNIT_ASSERT(market.all(true) >= 9);
-    market.settle(20, 3'000, 9'000);
-    CPPUNIT_ASSERT(market.all(true) >= 9);
-    market.settle(20, 9'000, 20'000);
-    CPPUNIT_ASSERT_EQUAL(6U, market.all(true));
-  }
-
-  void beforeTheFirstLoadTheQuotasTell() {
-    Market market(3);
-    market.settle(0, 0, 2'000);
-    CPPUNIT_ASSERT(market.all(true) + market.all(false) >= 9);
-    Market known(3);
-    known.setQuotaTokens(CapacityPolicy{}.quotaTokensPerReplica * 4);
-    known.settle(0, 0, 2'000);
-    CPPUNIT_ASSERT_EQUAL(6U, known.all(true));
-    CPPUNIT_ASSERT_EQUAL(1U, known.all(false));
-  }
-
-  /// Replicas write themselves into the directory one after the other.
-  void aDirectoryThatFillsSlowlyIsNoSmallFleet() {
-    Market market(1);
-    market.turn(0, 0);
-    market.appear(5);
-    market.settle(0, 250, 2'000);
-    CPPUNIT_ASSERT(market.all(true) + market.all(false) >= 15);
-  }
-
-  /// Before the load, reclaimable ones that were ordered must not raise the need in turn.
-  void whatWasOrderedIsNoSmallestSize() {
-    Market market(2);
-    market.settle(0, 0, 8'000);
-    CPPUNIT_ASSERT_EQUAL(9U, market.all(true));
-  }
-
-  /// The holder ended with its daemon: the next one has heard of next to no load yet.
-  void aNewHolderKeepsWhatItFinds() {
-    Market market(3);
-    market.settle(80, 0, 20'000);
-    const std::uint32_t before = market.all(true);
-    market.replaceHolder();
-    market.settle(2, 20'000, 24'000);
-    CPPUNIT_ASSERT_EQUAL(before, market.all(true));
-    market.settle(20, 24'000, 60'000);
-    CPPUNIT_ASSERT_EQUAL(6U, market.all(true));
-  }
-
-  void onDemandOnesDoNotStandInForOnesThatBoot() {
-    Market market(1);
-    market.settle(20, 0, 2'000);
-    market.setBoot(Millis(4'000), true);
-    market.settle(80, 2'000, 6'000);
-    CPPUNIT_ASSERT_EQUAL(1U, market.all(false));
-    market.settle(80, 6'000, 7'000);
-    CPPUNIT_ASSERT(market.all(true) >= 9);
-    CPPUNIT_ASSERT_EQUAL(1U, market.all(false));
-  }
-
-  void onDemandOnesStandInForOnesThatNeverCame() {
-    Market market(1);
-    market.settle(20, 0, 2'000);
-    market.setBoot(Millis(60'000));
-    market.settle(50, 2'000, 3'000);
-    CPPUNIT_ASSERT_EQUAL(1U, market.all(false));
-    market.setBoot(Millis(0), true);
-    market.settle(50, 3'000, 10'000);
-    CPPUNIT_ASSERT(market.all(true) + market.all(false) >= 6);
+  void capacityFollowsTheLoadAndScalesDownLater() {
+    SimulatedPlatform platform(3);
+    platform.planRepeatedly(20, 0, 2'000);
+    platform.planRepeatedly(80, 2'000, 3'000);
+    CPPUNIT_ASSERT(platform.totalReplicas(true) >= 9);
+    platform.planRepeatedly(20, 3'000, 9'000);
+    CPPUNIT_ASSERT(platform.totalReplicas(true) >= 9);
+    platform.planRepeatedly(20, 9'000, 20'000);
+    CPPUNIT_ASSERT_EQUAL(6U, platform.totalReplicas(true));
+  }
+
+  void initialCapacityFollowsTheQuotas() {
+    SimulatedPlatform platform(3);
+    platform.planRepeatedly(0, 0, 2'000);
+    CPPUNIT_ASSERT(platform.totalReplicas(true) + platform.totalReplicas(false) >= 9);
+    SimulatedPlatform withQuotas(3);
+    withQuotas.setQuotaTokens(CapacityPolicy{}.quotaTokensPerReplica * 4);
+    withQuotas.planRepeatedly(0, 0, 2'000);
+    CPPUNIT_ASSERT_EQUAL(6U, withQuotas.totalReplicas(true));
+    CPPUNIT_ASSERT_EQUAL(1U, withQuotas.totalReplicas(false));
+  }
+
+  /// Replicas register in the directory one after the other: a partly filled directory must not be
+  /// taken for a small fleet.
+  void replicasThatRegisterLateCountAsInitial() {
+    SimulatedPlatform platform(1);
+    platform.planOnce(0, 0);
+    platform.registerOnDemand(5);
+    platform.planRepeatedly(0, 250, 2'000);
+    CPPUNIT_ASSERT(platform.totalReplicas(true) + platform.totalReplicas(false) >= 15);
+  }
+
+  /// Before any load is seen, reclaimable replicas that the planner ordered must not raise the need
+  /// in turn.
+  void orderedReplicasDoNotRaiseTheInitialNeed() {
+    SimulatedPlatform platform(2);
+    platform.planRepeatedly(0, 0, 8'000);
+    CPPUNIT_ASSERT_EQUAL(9U, platform.totalReplicas(true));
+  }
+
+  /// The holder's daemon stopped, and its successor has received reports of almost no load yet.
+  void newHolderKeepsTheExistingReplicas() {
+    SimulatedPlatform platform(3);
+    platform.planRepeatedly(80, 0, 20'000);
+    const std::uint32_t before = platform.totalReplicas(true);
+    platform.takeOver();
+    platform.planRepeatedly(2, 20'000, 24'000);
+    CPPUNIT_ASSERT_EQUAL(before, platform.totalReplicas(true));
+    platform.planRepeatedly(20, 24'000, 60'000);
+    CPPUNIT_ASSERT_EQUAL(6U, platform.totalReplicas(true));
+  }
+
+  void onDemandReplicasAreNotOrderedWhileReclaimableOnesBoot() {
+    SimulatedPlatform platform(1);
+    platform.planRepeatedly(20, 0, 2'000);
+    platform.setBootTime(Millis(4'000), true);
+    platform.planRepeatedly(80, 2'000, 6'000);
+    CPPUNIT_ASSERT_EQUAL(1U, platform.totalReplicas(false));
+    platform.planRepeatedly(80, 6'000, 7'000);
+    CPPUNIT_ASSERT(platform.totalReplicas(true) >= 9);
+    CPPUNIT_ASSERT_EQUAL(1U, platform.totalReplicas(false));
+  }
+
+  void onDemandReplicasReplaceReclaimableOnesThatNeverBoot() {
+    SimulatedPlatform platform(1);
+    platform.planRepeatedly(20, 0, 2'000);
+    platform.setBootTime(Millis(60'000));
+    platform.planRepeatedly(50, 2'000, 3'000);
+    CPPUNIT_ASSERT_EQUAL(1U, platform.totalReplicas(false));
+    platform.setBootTime(Millis(0), true);
+    platform.planRepeatedly(50, 3'000, 10'000);
+    CPPUNIT_ASSERT(platform.totalReplicas(true) + platform.totalReplicas(false) >= 6);
   }
 };
 
--- a/test/RoutingTest.cpp
+++ b/test/RoutingTest.cpp
@@ -28,16 +28,16 @@
 
 class RoutingTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(RoutingTest);
-  CPPUNIT_TEST(ownersMoveOnlyWithTheirMember);
-  CPPUNIT_TEST(shardsMoveOnlyWhatTheyMust);
-  CPPUNIT_TEST(shardOrderNamesEachShardOnce);
+  CPPUNIT_TEST(keysMoveOnlyWithTheirOwner);
+  CPPUNIT_TEST(addedShardMovesOnlyItsOwnUpstreams);
+  CPPUNIT_TEST(shardOrderContainsEachShardOnce);
   CPPUNIT_TEST(prefixBlocksMatchSharedPrefixes);
-  CPPUNIT_TEST(thePrefixIndexForgetsTheOldest);
-  CPPUNIT_TEST(policiesChooseAsTheySay);
+  CPPUNIT_TEST(prefixIndexEvictsTheLeastRecentlyUsed);
+  CPPUNIT_TEST(policiesChooseByTable);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void ownersMoveOnlyWithTheirMember() {
+  void keysMoveOnlyWithTheirOwner() {
     const auto six = daemons(6);
     auto five = six;
     five.erase(five.begin() + 2);
@@ -53,7 +53,7 @@
     CPPUNIT_ASSERT(rankOwners("x", {}).empty());
   }
 
-  void shardsMoveOnlyWhatTheyMust() {
+  void addedShardMovesOnlyItsOwnUpstreams() {
     struct Case {
       std::size_t upstreams;
       std::uint32_t shards;
@@ -69,7 +69,7 @@
     }
   }
 
-  void shardOrderNamesEachShardOnce() {
+  void shardOrderContainsEachShardOnce() {
     const auto order = shardOrder(99, 7);
     CPPUNIT_ASSERT_EQUAL(std::size_t(7),
                          std::set<std::uint32_t>(order.begin(), order.end()).size());
@@ -79,13 +79,13 @@
   void prefixBlocksMatchSharedPrefixes() {
     struct Case {
       int shared;
-      int own;
+      int distinct;
       std::size_t sharedBlocks;
     };
     for (const Case& c : {Case{0, 64, 0}, Case{31, 64, 0}, Case{32, 64, 1}, Case{100, 10, 3}}) {
-      const auto a = prefixBlocks(words(0, c.shared) + words(1'000, c.own));
-      const auto b = prefixBlocks(words(0, c.shared) + words(9'000, c.own));
-      CPPUNIT_ASSERT_EQUAL(static_cast<std::size_t>(c.shared + c.own), a.tokens);
+      const auto a = prefixBlocks(words(0, c.shared) + words(1'000, c.distinct));
+      const auto b = prefixBlocks(words(0, c.shared) + words(9'000, c.distinct));
+      CPPUNIT_ASSERT_EQUAL(static_cast<std::size_t>(c.shared + c.distinct), a.tokens);
       std::size_t same = 0;
       while (same < a.hashes.size() && a.hashes[same] == b.hashes[same]) ++same;
       CPPUNIT_ASSERT_EQUAL(c.sharedBlocks, same);
@@ -94,12 +94,13 @@
     CPPUNIT_ASSERT_EQUAL(PrefixBlocks::kMaxBlocks, prefixBlocks(words(0, 20'000)).hashes.size());
   }
 
-  void thePrefixIndexForgetsTheOldest() {
+  void prefixIndexEvictsTheLeastRecentlyUsed() {
     PrefixIndex index(4 * PrefixBlocks::kTokensPerBlock);
     index.recordUse(std::vector<std::uint64_t>{1, 2});
     index.recordUse(std::vector<std::uint64_t>{3, 4});
     index.recordUse(std::vector<std::uint64_t>{1, 5});
-    // Held are 1, 5, 3, 4: block 2 was the oldest, and a tail goes before its head.
+    // Blocks 1, 5, 3 and 4 remain: block 2 was the least recently used, as the last blocks of a
+    // prompt are evicted before its first ones.
     CPPUNIT_ASSERT_EQUAL(std::size_t(32), index.cachedTokens(std::vector<std::uint64_t>{1, 2}));
     CPPUNIT_ASSERT_EQUAL(std::size_t(64), index.cachedTokens(std::vector<std::uint64_t>{3, 4}));
     index.evict(3);
@@ -108,8 +109,8 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t(0), index.blockCount());
   }
 
-  void policiesChooseAsTheySay() {
-    // Slot 0 holds the prefix, slot 2 is idle.
+  void policiesChooseByTable() {
+    // Slot 0 has cached the prefix, slot 2 is idle.
     const auto candidates = [](std::size_t busy) {
       return std::vector<Candidate>{
           {0, 10, busy, 0, 640, 0, {}}, {1, 11, 3, 0, 0, 640, {}}, {2, 12, 0, 0, 0, 640, {}}};
