--- a/test/DutyFleet.cpp
+++ b/test/DutyFleet.cpp
@@ -53,9 +53,9 @@
 
 Millis DutyFleet::wallClock(std::size_t index, int ms) const {
   Millis clock(kWallStartMs + ms);
-  for (const ClockOffset& step : clockOffsets_) {
-    const bool now = ms >= step.from && ms < step.to;
-    if (now && step.host == static_cast<int>(index)) clock += Millis(step.offset);
+  for (const ClockOffset& clockOffset : clockOffsets_) {
+    const bool now = ms >= clockOffset.from && ms < clockOffset.to;
+    if (now && clockOffset.host == static_cast<int>(index)) clock += Millis(clockOffset.offset);
   }
   return clock;
 }
@@ -266,15 +266,15 @@
 }
 
 std::string DutyFleet::inaccurateWindows() const {
-  std::string wrong;
+  std::string descriptions;
   for (int window = 0; (window + 1) * kWindowMs + kReportDeadlineMs <= now_; ++window) {
     const auto served = static_cast<int>(served_.at(kWallStartMs / kWindowMs + window));
     const int missing = missingRuns(window);
     if (std::abs(missing) * 20 <= served) continue;
-    wrong += " window " + std::to_string(window) + ": missing " + std::to_string(missing) + " of " +
-             std::to_string(served);
+    descriptions += " window " + std::to_string(window) + ": missing " + std::to_string(missing) +
+                    " of " + std::to_string(served);
   }
-  return wrong;
+  return descriptions;
 }
 
 }  // namespace Hallchute
--- a/test/PlacementTest.cpp
+++ b/test/PlacementTest.cpp
@@ -313,8 +313,8 @@
 
  public:
   /// Guards against daemons that overload an upstream by all selecting the least loaded one. The
-  /// reported loads are half a second old, and within that time many times as many requests are
-  /// placed as an upstream has slots. Upstreams have six slots each, of which about half are in
+  /// reported loads are half a second old, and the requests placed within that time exceed an
+  /// upstream's slots many times over. Upstreams have six slots each, about half of which are in
   /// use; in some rows one upstream is slow, so that loads differ.
   void daemonsWithStaleLoadsSpreadTheirRequests() {
     struct Row {
@@ -373,7 +373,7 @@
       failures += row.name + ": time to first token " +
                   std::to_string(result.timeToFirstTokenMs(0.5)) + " ms at the median, " +
                   std::to_string(result.timeToFirstTokenMs(0.95)) +
-                  " ms at the 95th percentile, read again " +
+                  " ms at the 95th percentile, recomputed fraction " +
                   std::to_string(result.recomputedFraction()) + "; ";
     }
     CPPUNIT_ASSERT_EQUAL(std::string(), failures);
