--- a/test/DutyTest.cpp
+++ b/test/DutyTest.cpp
@@ -299,7 +299,7 @@
             if (i == j || both) heard.emplace_back(daemons[j].name(), daemons[j].incarnation());
           }
           DutyFacts facts = factsAt(ms, heard);
-          // The daemons' counts of the newest window differ.
+          // Daemons have different, incomplete counts of the newest window.
           facts.usage[(1'000'000 + ms) / 5'000][kOrg] = draw(1'000);
           const CallFailure failure =
               draw(10) == 0 ? (draw(2) == 0 ? CallFailure::responseLost : CallFailure::requestLost)
--- a/test/DutyWindowsTest.cpp
+++ b/test/DutyWindowsTest.cpp
@@ -131,8 +131,8 @@
 
   /// Guards against requests that are counted in the wrong window. The clocks of a third of the
   /// daemons, the holder's among them, change for six seconds, and some daemons start with such a
-  /// clock. Windows by the daemons' own clocks had 1160 requests reported instead of 921, and 634
-  /// in the next window.
+  /// clock. With clocks set back and windows numbered by each daemon's own clock, 1160 requests
+  /// were reported instead of 921, and 634 in the next window.
   void clockChangesMoveNoRequestsBetweenWindows() {
     struct Row {
       int daemons;
