--- a/Hallchute/src/Net/AddressMember.h
+++ b/Hallchute/src/Net/AddressMember.h
@@ -10,8 +10,8 @@
 
 class JsonReader;
 
-/// \brief Reads a member that holds `ip:port`; a finding if it is something else, or absent though
-/// \p required. \ingroup Net
+/// \brief Reads a JSON member of the form `ip:port`. Reports a finding if it is malformed, or if it
+/// is \p required and missing. \ingroup Net
 std::string addressMember(JsonReader& reader, const std::string& name, bool required);
 
 }  // namespace Hallchute
--- a/Hallchute/src/Net/Clock.h
+++ b/Hallchute/src/Net/Clock.h
@@ -10,13 +10,14 @@
 
 namespace Hallchute {
 
-/// \brief The monotonic clock, for adapters and the daemon: decision code is given the time.
-/// \ingroup Net
+/// \brief Monotonic time, for adapters and the daemon. Decision logic takes the time as a
+/// parameter. \ingroup Net
 inline Instant clockNow() {
   return std::chrono::steady_clock::now();
 }
 
-/// \brief Wall clock, ms since 1970: for names and records that outlive a process, never to decide.
+/// \brief Wall-clock time in ms since the Unix epoch, for names and for records that outlive the
+/// process. Not for decisions.
 /// \ingroup Net
 inline std::int64_t wallClockMs() {
   const auto now = std::chrono::system_clock::now().time_since_epoch();
--- a/Hallchute/src/Net/EventLoop.cpp
+++ b/Hallchute/src/Net/EventLoop.cpp
@@ -18,11 +18,11 @@
 namespace Hallchute {
 namespace {
 
-constexpr Millis kLongestPoll{1'000};
-/// Sockets whose events are taken at one turn; the others come at the next.
-constexpr int kEventsATurn = 64;
+constexpr Millis kMaxPollTimeout{1'000};
+/// Sockets with events beyond this number are handled in the next iteration.
+constexpr int kMaxEventsPerPoll = 64;
 
-// The loop takes the poll names and hands them to epoll as they are.
+// Callers pass poll() flags, which go to epoll unchanged.
 static_assert(POLLIN == EPOLLIN && POLLOUT == EPOLLOUT);
 static_assert(POLLERR == EPOLLERR && POLLHUP == EPOLLHUP);
 
@@ -66,7 +66,7 @@
   [[maybe_unused]] const auto written = write(wakeFd_, &one, sizeof one);
 }
 
-void EventLoop::drainWake() {
+void EventLoop::clearWake() {
   std::uint64_t count = 0;
   [[maybe_unused]] const auto got = read(wakeFd_, &count, sizeof count);
 }
@@ -93,15 +93,15 @@
 }
 
 void EventLoop::watch(int socket, short events, SocketTask task) {
-  const bool known = sockets_.contains(socket);
+  const bool registered = sockets_.contains(socket);
   Watched& watched = sockets_[socket];
-  if (!known) watched.generation = nextGeneration_++;
+  if (!registered) watched.generation = nextGeneration_++;
   watched.events = events;
   watched.task = std::make_shared<SocketTask>(std::move(task));
   epoll_event event{};
   event.events = static_cast<std::uint32_t>(events);
   event.data.u64 = eventKey(socket, watched.generation);
-  epoll_ctl(pollFd_, known ? EPOLL_CTL_MOD : EPOLL_CTL_ADD, socket, &event);
+  epoll_ctl(pollFd_, registered ? EPOLL_CTL_MOD : EPOLL_CTL_ADD, socket, &event);
 }
 
 void EventLoop::rewatch(int socket, short events) {
@@ -122,7 +122,7 @@
 EventLoop::TimerId EventLoop::addTimer(Instant at, Timer timer) {
   const TimerId id = nextTimer_++;
   timers_.emplace(TimerKey{at, id}, std::move(timer));
-  timerTimes_.emplace(id, at);
+  timerDueTimes_.emplace(id, at);
   return id;
 }
 
@@ -135,32 +135,32 @@
 }
 
 void EventLoop::cancel(TimerId timer) {
-  const auto it = timerTimes_.find(timer);
-  if (it == timerTimes_.end()) return;
+  const auto it = timerDueTimes_.find(timer);
+  if (it == timerDueTimes_.end()) return;
   timers_.erase({it->second, timer});
-  timerTimes_.erase(it);
+  timerDueTimes_.erase(it);
 }
 
 Millis EventLoop::untilNextTimer() const {
-  if (timers_.empty()) return kLongestPoll;
+  if (timers_.empty()) return kMaxPollTimeout;
   const auto left = std::chrono::ceil<Millis>(timers_.begin()->first.first - clockNow());
-  return std::clamp(left, Millis(0), kLongestPoll);
+  return std::clamp(left, Millis(0), kMaxPollTimeout);
 }
 
 void EventLoop::pollOnce() {
-  std::array<epoll_event, kEventsATurn> ready;
+  std::array<epoll_event, kMaxEventsPerPoll> ready;
   const int timeout = static_cast<int>(untilNextTimer().count());
-  const int count = epoll_wait(pollFd_, ready.data(), kEventsATurn, timeout);
+  const int count = epoll_wait(pollFd_, ready.data(), kMaxEventsPerPoll, timeout);
   for (int i = 0; i < count; ++i) {
     const std::uint64_t key = ready[i].data.u64;
     const int socket = static_cast<int>(key & 0xffffffffU);
     if (socket == wakeFd_) {
-      drainWake();
+      clearWake();
       continue;
     }
     const auto it = sockets_.find(socket);
     if (it == sockets_.end() || it->second.generation != key >> 32U) continue;
-    // The task may replace or remove itself.
+    // Keeps the task alive: it may replace itself or unwatch its socket.
     const std::shared_ptr<SocketTask> task = it->second.task;
     (*task)(static_cast<short>(ready[i].events));
   }
@@ -179,7 +179,7 @@
   const Instant now = clockNow();
   while (!timers_.empty() && timers_.begin()->first.first <= now) {
     auto node = timers_.extract(timers_.begin());
-    timerTimes_.erase(node.key().second);
+    timerDueTimes_.erase(node.key().second);
     Timer timer = std::move(node.mapped());
     timer.task();
     const Millis period = timer.period;
--- a/Hallchute/src/Net/EventLoop.h
+++ b/Hallchute/src/Net/EventLoop.h
@@ -19,17 +19,17 @@
 
 namespace Hallchute {
 
-/// \brief The one thread that owns all control state: sockets, timers and posted tasks.
+/// \brief A single-threaded loop over sockets, timers and posted tasks.
 /// \ingroup Net
 ///
-/// post() and call() may be used from any thread; everything else on the loop's own thread or
-/// before run().
+/// State that is used only on the loop's thread needs no lock. post(), call() and stop() may be
+/// called from any thread; everything else only on the loop's thread or before run().
 class EventLoop {
  public:
   using Task = std::function<void()>;
-  /// \brief Told which of POLLIN, POLLOUT, POLLERR, POLLHUP came.
+  /// \brief Called with the events that are ready: POLLIN, POLLOUT, POLLERR, POLLHUP.
   using SocketTask = std::function<void(short events)>;
-  /// \brief Names a timer; 0 names none.
+  /// \brief Identifies a timer; 0 means none.
   using TimerId = std::uint64_t;
 
   EventLoop();
@@ -40,27 +40,27 @@
   /// \brief Runs until stop().
   void run();
   void stop();
-  /// \brief Runs \p task on the loop's thread, soon and in order.
+  /// \brief Queues \p task to run on the loop's thread; tasks run in the order of posting.
   void post(Task task);
-  /// \brief Runs \p task on the loop's thread and waits for it.
+  /// \brief Runs \p task on the loop's thread and blocks until it has finished.
   void call(const Task& task);
-  /// \brief Watches a socket for \p events; a second call changes them.
+  /// \brief Watches a socket for \p events; a second call replaces events and task.
   void watch(int socket, short events, SocketTask task);
-  /// \brief Changes what a watched socket waits for.
+  /// \brief Changes the events that a socket is watched for.
   void rewatch(int socket, short events);
   void unwatch(int socket);
   /// \brief Runs \p task every \p period.
   void every(Millis period, Task task);
   /// \brief Runs \p task once after \p delay.
   TimerId after(Millis delay, Task task);
-  /// \brief Takes back a timer; does nothing if it has run.
+  /// \brief Cancels a timer; does nothing if it has already run.
   void cancel(TimerId timer);
   bool onLoopThread() const { return std::this_thread::get_id() == thread_.load(); }
 
  private:
   struct Watched {
     short events = 0;
-    /// Tells this watch from an earlier one of the same descriptor.
+    /// Distinguishes this watch from an earlier one on the same descriptor number.
     std::uint32_t generation = 0;
     std::shared_ptr<SocketTask> task;
   };
@@ -68,11 +68,11 @@
     Millis period{0};
     Task task;
   };
-  /// Timers run in the order of their time; the number makes each key unique.
+  /// Sorts by due time; the identifier makes the key unique.
   using TimerKey = std::pair<Instant, TimerId>;
 
   void wake();
-  void drainWake();
+  void clearWake();
   void runPosted();
   void runTimers();
   Millis untilNextTimer() const;
@@ -88,7 +88,7 @@
   std::unordered_map<int, Watched> sockets_;
   std::uint32_t nextGeneration_ = 1;
   std::map<TimerKey, Timer> timers_;
-  std::unordered_map<TimerId, Instant> timerTimes_;
+  std::unordered_map<TimerId, Instant> timerDueTimes_;
   TimerId nextTimer_ = 1;
 };
 
--- a/Hallchute/src/Net/HttpExchange.cpp
+++ b/Hallchute/src/Net/HttpExchange.cpp
@@ -20,35 +20,35 @@
 
 using Poco::Net::HTTPRequest;
 
-constexpr std::size_t kMaxAnswer = 64U << 20U;
-constexpr std::size_t kReadSize = 16U << 10U;
+constexpr std::size_t kMaxBodyBytes = 64U << 20U;
+constexpr std::size_t kReadBytes = 16U << 10U;
 
 Poco::Timespan timespan(Millis time) {
   return {static_cast<Poco::Timespan::TimeDiff>(time.count()) * Poco::Timespan::MILLISECONDS};
 }
 
-Poco::Net::StreamSocket connect(const HttpRoute& route) {
+Poco::Net::StreamSocket connect(const HttpEndpoint& endpoint) {
   Poco::Net::StreamSocket socket;
-  if (!route.source.empty()) {
-    socket.impl()->bind(Poco::Net::SocketAddress(route.source, 0), false);
+  if (!endpoint.source.empty()) {
+    socket.impl()->bind(Poco::Net::SocketAddress(endpoint.source, 0), false);
   }
-  socket.connect(Poco::Net::SocketAddress(route.address), timespan(route.connectLimit));
+  socket.connect(Poco::Net::SocketAddress(endpoint.address), timespan(endpoint.connectTimeout));
   socket.setNoDelay(true);
-  // The session applies its own time limits only to connections that it opens itself.
-  socket.setSendTimeout(timespan(route.answerLimit));
-  socket.setReceiveTimeout(timespan(route.answerLimit));
+  // HTTPClientSession applies its timeouts only to connections that it opens itself.
+  socket.setSendTimeout(timespan(endpoint.responseTimeout));
+  socket.setReceiveTimeout(timespan(endpoint.responseTimeout));
   return socket;
 }
 
-/// Reads at most \p length bytes, or up to the end if it is negative.
-/// \returns whether the end was reached with no byte missing.
+/// Reads \p length bytes, or up to the end of the stream if it is negative.
+/// \returns whether all \p length bytes were read.
 bool readBody(std::istream& in, std::streamsize length, std::string& body) {
-  std::array<char, kReadSize> buffer;
-  while (in.good() && body.size() <= kMaxAnswer) {
-    std::streamsize wanted = static_cast<std::streamsize>(buffer.size());
-    if (length >= 0) wanted = std::min(wanted, length - static_cast<std::streamsize>(body.size()));
-    if (wanted == 0) return true;
-    in.read(buffer.data(), wanted);
+  std::array<char, kReadBytes> buffer;
+  while (in.good() && body.size() <= kMaxBodyBytes) {
+    std::streamsize toRead = static_cast<std::streamsize>(buffer.size());
+    if (length >= 0) toRead = std::min(toRead, length - static_cast<std::streamsize>(body.size()));
+    if (toRead == 0) return true;
+    in.read(buffer.data(), toRead);
     body.append(buffer.data(), static_cast<std::size_t>(in.gcount()));
   }
   return false;
@@ -63,18 +63,18 @@
   return {};
 }
 
-HttpExchange::HttpExchange(HttpRoute route) : route_(std::move(route)) {}
+HttpExchange::HttpExchange(HttpEndpoint endpoint) : endpoint_(std::move(endpoint)) {}
 HttpExchange::~HttpExchange() = default;
 
 HttpResult HttpExchange::open(const HttpCall& call) {
   try {
-    session_ = std::make_unique<Poco::Net::HTTPClientSession>(connect(route_));
+    session_ = std::make_unique<Poco::Net::HTTPClientSession>(connect(endpoint_));
   } catch (const Poco::Exception& e) {
-    return HttpNeverSent{route_.address + ": " + e.displayText()};
+    return HttpNeverSent{endpoint_.address + ": " + e.displayText()};
   }
   try {
     HTTPRequest request(call.method, call.target, HTTPRequest::HTTP_1_1);
-    request.setHost(route_.address);
+    request.setHost(endpoint_.address);
     request.setKeepAlive(false);
     for (const auto& [name, value] : call.headers) request.set(name, value);
     if (!call.contentType.empty()) request.setContentType(call.contentType);
@@ -90,9 +90,9 @@
     for (const auto& [name, value] : *response_) answer.headers.emplace_back(name, value);
     return answer;
   } catch (const Poco::TimeoutException& e) {
-    return HttpMaybeSent{route_.address + ": " + e.displayText(), true};
+    return HttpMaybeSent{endpoint_.address + ": " + e.displayText(), true};
   } catch (const Poco::Exception& e) {
-    return HttpMaybeSent{route_.address + ": " + e.displayText()};
+    return HttpMaybeSent{endpoint_.address + ": " + e.displayText()};
   }
 }
 
@@ -103,10 +103,10 @@
   const bool empty = call.method == HTTPRequest::HTTP_HEAD || answer->status == 204;
   if (empty) return result;
   if (!response_->hasContentLength()) {
-    return HttpMaybeSent{route_.address + ": the answer has no Content-Length"};
+    return HttpMaybeSent{endpoint_.address + ": the answer has no Content-Length"};
   }
   if (!readBody(*body_, response_->getContentLength64(), answer->body)) {
-    return HttpMaybeSent{route_.address + ": the answer was cut short"};
+    return HttpMaybeSent{endpoint_.address + ": the answer was cut short"};
   }
   return result;
 }
--- a/Hallchute/src/Net/HttpExchange.h
+++ b/Hallchute/src/Net/HttpExchange.h
@@ -22,7 +22,7 @@
 
 namespace Hallchute {
 
-/// \brief An HTTP request to be sent once.
+/// \brief An HTTP request, sent at most once.
 /// \ingroup Net
 struct HttpCall {
   std::string method = "GET";
@@ -32,7 +32,7 @@
   std::vector<std::pair<std::string, std::string>> headers;
 };
 
-/// \brief A whole answer: its body has the length that its header gave.
+/// \brief A complete response: the body is as long as its Content-Length.
 /// \ingroup Net
 struct HttpAnswer {
   int status = 0;
@@ -40,61 +40,61 @@
   std::string body;
   std::vector<std::pair<std::string, std::string>> headers;
 
-  /// \brief The value of a header, compared without case; empty if absent.
+  /// \brief The value of a header, or an empty string. Names are case-insensitive.
   std::string header(std::string_view name) const;
 };
 
-/// \brief No byte of the request left this host.
+/// \brief The connection failed before any byte of the request was sent.
 /// \ingroup Net
 struct HttpNeverSent {
   std::string detail;
 };
 
-/// \brief The request may have arrived; no whole answer came.
+/// \brief The request may have been received, but there is no complete response.
 /// \ingroup Net
 struct HttpMaybeSent {
   std::string detail;
-  /// Whether the other side fell silent, rather than closed the connection.
+  /// Whether the exchange timed out, rather than the server closed the connection.
   bool silent = false;
 };
 
 /// \ingroup Net
 using HttpResult = std::variant<HttpAnswer, HttpNeverSent, HttpMaybeSent>;
 
-/// \brief Where to, from which address, and for how long.
+/// \brief Server address, source address and timeouts of an exchange.
 /// \ingroup Net
-struct HttpRoute {
+struct HttpEndpoint {
   /// `ip:port`.
   std::string address;
-  /// The own IP; empty for any.
+  /// Local IP to connect from; empty for any.
   std::string source;
-  Millis connectLimit{500};
-  /// Longest silence while waiting for the answer.
-  Millis answerLimit{5'000};
+  Millis connectTimeout{500};
+  /// Longest time without data while sending the request or receiving the response.
+  Millis responseTimeout{5'000};
 };
 
-/// \brief One HTTP exchange on a connection of its own.
+/// \brief One HTTP exchange on its own connection.
 /// \ingroup Net
 ///
-/// A connection is never used twice: the library re-sends by itself on a kept connection that
-/// broke, and one call here must be one request at most. Blocks; any thread.
+/// Connections are not reused: Poco resends a request by itself if a kept-alive connection is
+/// broken, but one call must send at most one request. Calls block and may be made from any thread.
 class HttpExchange {
  public:
-  explicit HttpExchange(HttpRoute route);
+  explicit HttpExchange(HttpEndpoint endpoint);
   ~HttpExchange();
   HttpExchange(const HttpExchange&) = delete;
   HttpExchange& operator=(const HttpExchange&) = delete;
 
-  /// \brief Sends \p call and reads the whole answer.
+  /// \brief Sends \p call and reads the complete response.
   HttpResult run(const HttpCall& call);
-  /// \brief Sends \p call and reads the head of the answer; its body is read from stream().
-  /// \returns an answer with an empty body.
+  /// \brief Sends \p call and reads the response header; the body can be read from stream().
+  /// \returns a response with an empty body.
   HttpResult open(const HttpCall& call);
-  /// \brief The body after open(). Ends with an error state when the route's answerLimit passes.
+  /// \brief The body after open(). Goes into an error state after responseTimeout without data.
   std::istream& stream() { return *body_; }
 
  private:
-  HttpRoute route_;
+  HttpEndpoint endpoint_;
   std::unique_ptr<Poco::Net::HTTPClientSession> session_;
   std::unique_ptr<Poco::Net::HTTPResponse> response_;
   std::istream* body_ = nullptr;
--- a/Hallchute/src/Net/PeerConnection.cpp
+++ b/Hallchute/src/Net/PeerConnection.cpp
@@ -17,7 +17,7 @@
 namespace Hallchute {
 namespace {
 
-constexpr std::size_t kReadSize = 64U << 10U;
+constexpr std::size_t kReadBytes = 64U << 10U;
 
 }  // namespace
 
@@ -51,8 +51,8 @@
 PeerSession::Events PeerConnection::events() {
   PeerSession::Events events;
   events.onOpened = [this](std::int32_t id, const std::string& path) {
-    const PeerTransport::Server* server = transport_.serverOf(path);
-    if (server == nullptr) {
+    const PeerTransport::StreamHandler* streamHandler = transport_.findHandler(path);
+    if (streamHandler == nullptr) {
       session_.reset(id);
       return;
     }
@@ -61,13 +61,13 @@
     stream->connection_ = id_;
     stream->id_ = id;
     streams_[id] = stream;
-    (*server)(stream);
+    (*streamHandler)(stream);
   };
   events.onMessage = [this](std::int32_t id, const std::string& message) {
     const auto it = streams_.find(id);
     if (it == streams_.end()) return;
     const PeerStreamPtr stream = it->second;
-    // The handler may replace or clear itself.
+    // Copied because the handler may replace or clear itself.
     const auto handler = stream->onMessage;
     if (handler) handler(message);
   };
@@ -116,7 +116,7 @@
   scheduleFlush();
 }
 
-/// Flushing inside a callback of the session would re-enter it: it waits for the loop.
+/// Posted to the loop because flushing inside a session callback would re-enter the session.
 void PeerConnection::scheduleFlush() {
   if (flushScheduled_) return;
   flushScheduled_ = true;
@@ -138,8 +138,8 @@
     const ssize_t sent =
         ::send(socket_.impl()->sockfd(), output_.data(), output_.size(), MSG_NOSIGNAL);
     if (sent < 0) {
-      const bool later = errno == EAGAIN || errno == EWOULDBLOCK || errno == ENOTCONN;
-      if (!later) return false;
+      const bool retryLater = errno == EAGAIN || errno == EWOULDBLOCK || errno == ENOTCONN;
+      if (!retryLater) return false;
       break;
     }
     transport_.bytesSent_ += static_cast<std::uint64_t>(sent);
@@ -167,13 +167,13 @@
 }
 
 bool PeerConnection::readAll() {
-  std::array<char, kReadSize> buffer;
+  std::array<char, kReadBytes> buffer;
   for (;;) {
-    const ssize_t got = ::recv(socket_.impl()->sockfd(), buffer.data(), buffer.size(), 0);
-    if (got == 0) return false;
-    if (got < 0) return errno == EAGAIN || errno == EWOULDBLOCK;
-    transport_.bytesReceived_ += static_cast<std::uint64_t>(got);
-    if (!session_.receive({buffer.data(), static_cast<std::size_t>(got)})) return false;
+    const ssize_t received = ::recv(socket_.impl()->sockfd(), buffer.data(), buffer.size(), 0);
+    if (received == 0) return false;
+    if (received < 0) return errno == EAGAIN || errno == EWOULDBLOCK;
+    transport_.bytesReceived_ += static_cast<std::uint64_t>(received);
+    if (!session_.receive({buffer.data(), static_cast<std::size_t>(received)})) return false;
   }
 }
 
--- a/Hallchute/src/Net/PeerConnection.h
+++ b/Hallchute/src/Net/PeerConnection.h
@@ -17,7 +17,7 @@
 
 class PeerTransport;
 
-/// \brief A socket to a peer with the session on it.
+/// \brief A TCP connection to a peer and the HTTP/2 session on it.
 /// \ingroup Net
 class PeerConnection {
  public:
--- a/Hallchute/src/Net/PeerMessages.h
+++ b/Hallchute/src/Net/PeerMessages.h
@@ -18,8 +18,8 @@
 #include "Hallchute/src/Routing/ShardKey.h"
 
 /// \file
-/// \brief The messages between daemons. Each stream starts with one request message; its path
-/// names the kind. The order of wireFields() is the wire format.
+/// \brief The messages between daemons. Each stream starts with one request message, whose type
+/// follows from the path. The order of the members in wireFields() is the wire format.
 
 namespace Hallchute {
 
@@ -38,11 +38,11 @@
 struct GrantRequestMessage {
   ShardKey shard;
   GrantRequest wanted;
-  /// Time left of `wanted.deadline`, which itself stays at home.
+  /// Time left until `wanted.deadline`, which is not sent: monotonic clocks of hosts differ.
   Millis remaining{0};
 };
 
-/// \brief How an owner's word on a grant stream reads. \ingroup Net
+/// \brief State of a grant request as replied by the shard owner. \ingroup Net
 enum class GrantWord : std::uint8_t { queued, granted, refused };
 
 /// \ingroup Net
@@ -52,25 +52,27 @@
   Refusal refusal;
 };
 
-/// \brief The daemon's word on work it was granted: its first token came, or it ended.
+/// \brief Tells the shard owner that granted work has produced its first token, or has ended.
 /// \ingroup Net
 struct GrantNoteMessage {
   bool ended = false;
   GrantEnd end = GrantEnd::cancelled;
 };
 
-/// \brief Opens a stream that holds a grant made by an earlier owner. \ingroup Net
+/// \brief Registers a grant made by a previous shard owner with the current one, for as long as the
+/// stream is open. \ingroup Net
 struct HoldMessage {
   ShardKey shard;
   ExistingGrant held;
 };
 
-/// \brief Asks for settings newer than a revision. \ingroup Net
+/// \brief Requests the settings changes after a revision. \ingroup Net
 struct SettingsRequestMessage {
   std::uint64_t revision = 0;
 };
 
-/// \brief Changes in order, or a snapshot if they reach too far back. \ingroup Net
+/// \brief Changes in order, or a snapshot if the change log no longer covers the requested
+/// revision. \ingroup Net
 struct SettingsReplyMessage {
   std::uint64_t snapshotRevision = 0;
   std::string snapshot;
@@ -88,7 +90,7 @@
   std::vector<HostListEntry> hosts;
 };
 
-/// \brief Hands a request to a peer; the answer says that it took it. \ingroup Net
+/// \brief Hands a request over to a peer, which replies whether it accepted it. \ingroup Net
 struct HandOverMessage {
   std::string record;
 };
@@ -98,14 +100,14 @@
   bool taken = false;
 };
 
-/// \brief Asks for an answer from a token on. \ingroup Net
+/// \brief Requests the tokens of an answer from an offset on. \ingroup Net
 struct AttachMessage {
   RequestId request;
   OrganisationName organisation;
   std::uint64_t offset = 0;
 };
 
-/// \brief A piece of an attached answer. \ingroup Net
+/// \brief The next tokens of an attached answer. \ingroup Net
 struct AttachReplyMessage {
   bool found = false;
   bool chat = true;
--- a/Hallchute/src/Net/PeerSession.cpp
+++ b/Hallchute/src/Net/PeerSession.cpp
@@ -13,10 +13,10 @@
 
 constexpr std::size_t kLengthBytes = 4;
 constexpr std::uint32_t kMaxStreams = 4'096;
-constexpr std::int32_t kWindow = 1 << 20;
+constexpr std::int32_t kWindowBytes = 1 << 20;
 
 nghttp2_nv header(std::string_view name, std::string_view value) {
-  // The library takes mutable pointers but copies the bytes.
+  // nghttp2 takes non-const pointers, but copies the bytes.
   return {reinterpret_cast<std::uint8_t*>(const_cast<char*>(name.data())),
           reinterpret_cast<std::uint8_t*>(const_cast<char*>(value.data())), name.size(),
           value.size(), NGHTTP2_NV_FLAG_NONE};
@@ -28,7 +28,7 @@
 
 }  // namespace
 
-/// The library's callbacks; `user` is the session they belong to.
+/// Callbacks for nghttp2; `user` points to the PeerSession.
 struct PeerSession::Callbacks {
   static PeerSession& self(void* user) { return *static_cast<PeerSession*>(user); }
 
@@ -115,9 +115,9 @@
   nghttp2_session_callbacks_del(callbacks);
   const std::array settings{
       nghttp2_settings_entry{NGHTTP2_SETTINGS_MAX_CONCURRENT_STREAMS, kMaxStreams},
-      nghttp2_settings_entry{NGHTTP2_SETTINGS_INITIAL_WINDOW_SIZE, kWindow}};
+      nghttp2_settings_entry{NGHTTP2_SETTINGS_INITIAL_WINDOW_SIZE, kWindowBytes}};
   nghttp2_submit_settings(session_, NGHTTP2_FLAG_NONE, settings.data(), settings.size());
-  nghttp2_session_set_local_window_size(session_, NGHTTP2_FLAG_NONE, 0, kWindow);
+  nghttp2_session_set_local_window_size(session_, NGHTTP2_FLAG_NONE, 0, kWindowBytes);
 }
 
 PeerSession::~PeerSession() {
--- a/Hallchute/src/Net/PeerSession.h
+++ b/Hallchute/src/Net/PeerSession.h
@@ -15,18 +15,18 @@
 
 namespace Hallchute {
 
-/// \brief One HTTP/2 connection between daemons, without its socket: bytes in, bytes out.
+/// \brief The HTTP/2 protocol of a connection between daemons, without socket I/O.
 /// \ingroup Net
 ///
-/// Messages are framed by a four-byte big-endian length. A message above kMaxMessage, and a stream
-/// whose secret is wrong, is reset. Loop thread only.
+/// Each message is preceded by its length as a four-byte big-endian integer. Streams with a message
+/// above kMaxMessageBytes or with a wrong secret are reset. Loop thread only.
 class PeerSession {
  public:
   static constexpr std::size_t kMaxMessage = 8U << 20U;
 
-  /// \brief What happens on the session's streams.
+  /// \brief Callbacks for the events on the session's streams.
   struct Events {
-    /// A peer opened a stream (server side).
+    /// The peer opened a stream (server side only).
     std::function<void(std::int32_t stream, const std::string& path)> onOpened;
     std::function<void(std::int32_t stream, std::string message)> onMessage;
     std::function<void(std::int32_t stream)> onClosed;
@@ -41,14 +41,14 @@
 
   /// \returns false if the connection must be closed.
   bool receive(std::string_view bytes);
-  /// \brief Bytes to send now; call until it is empty.
+  /// \brief Takes the bytes that are ready to be sent; call until it returns none.
   std::string takeOutput();
-  /// \returns the stream, negative if it can't be opened.
+  /// \returns the stream identifier, or a negative nghttp2 error code.
   std::int32_t open(std::string_view path);
   void send(std::int32_t stream, std::string_view message);
-  /// \brief No more messages from this side.
+  /// \brief Half-closes the stream after the messages already queued.
   void finish(std::int32_t stream);
-  /// \brief Closes the stream for both sides.
+  /// \brief Resets the stream in both directions.
   void reset(std::int32_t stream);
 
  private:
--- a/Hallchute/src/Net/PeerStream.h
+++ b/Hallchute/src/Net/PeerStream.h
@@ -13,20 +13,20 @@
 
 class PeerTransport;
 
-/// \brief One stream between two daemons. Loop thread only.
+/// \brief A bidirectional message stream between two daemons. Loop thread only.
 /// \ingroup Net
 ///
-/// `onClosed` is called exactly once, whoever closes the stream and however, unless close() was
-/// called here first. After it nothing more comes.
+/// `onClosed` is called exactly once, however the stream ends, unless close() was called on this
+/// side first. No callback follows it.
 class PeerStream : public std::enable_shared_from_this<PeerStream> {
  public:
   std::function<void(std::string_view message)> onMessage;
   std::function<void()> onClosed;
 
   void send(std::string_view message);
-  /// \brief Says that no more messages come from this side.
+  /// \brief Half-closes the stream: this side sends no more messages.
   void finish();
-  /// \brief Ends the stream; no callback follows.
+  /// \brief Resets the stream; no callback follows.
   void close();
   bool isOpen() const { return open_; }
 
--- a/Hallchute/src/Net/PeerTransport.cpp
+++ b/Hallchute/src/Net/PeerTransport.cpp
@@ -50,13 +50,13 @@
   connections_.clear();
 }
 
-void PeerTransport::serve(std::string_view path, Server server) {
-  servers_[std::string(path)] = std::move(server);
+void PeerTransport::serve(std::string_view path, StreamHandler handler) {
+  handlers_[std::string(path)] = std::move(handler);
 }
 
-const PeerTransport::Server* PeerTransport::serverOf(const std::string& path) const {
-  const auto it = servers_.find(path);
-  return it == servers_.end() ? nullptr : &it->second;
+const PeerTransport::StreamHandler* PeerTransport::findHandler(const std::string& path) const {
+  const auto it = handlers_.find(path);
+  return it == handlers_.end() ? nullptr : &it->second;
 }
 
 PeerConnection* PeerTransport::find(std::uint64_t connection) {
@@ -71,7 +71,7 @@
     connections_[id] =
         std::make_unique<PeerConnection>(*this, id, PeerSession::Role::server, socket);
   } catch (const Poco::Exception&) {
-    // The peer went away between the poll and the accept.
+    // The peer closed the connection before it was accepted.
   }
 }
 
@@ -99,15 +99,15 @@
   auto stream = std::make_shared<PeerStream>();
   stream->transport_ = this;
   stream->open_ = false;
-  // The owner has not set its callbacks yet.
+  // Posted because the caller has not set the callbacks yet.
   loop_.post([stream] {
     if (stream->onClosed) stream->onClosed();
   });
   return stream;
 }
 
-void PeerTransport::drop(const std::string& address) {
-  // The caller may be a callback of that very connection.
+void PeerTransport::disconnect(const std::string& address) {
+  // Posted because the caller may be a callback of this connection.
   loop_.post([this, address] {
     const auto it = outgoing_.find(address);
     if (it != outgoing_.end()) remove(it->second);
@@ -118,8 +118,8 @@
   std::erase_if(outgoing_, [&](const auto& entry) { return entry.second == connection; });
   const auto it = connections_.find(connection);
   if (it == connections_.end()) return;
-  // Its callbacks may use the transport: it is out of the table before it goes.
-  const std::unique_ptr<PeerConnection> gone = std::move(it->second);
+  // Erased before its destruction, whose callbacks may use the transport.
+  const std::unique_ptr<PeerConnection> removed = std::move(it->second);
   connections_.erase(it);
 }
 
--- a/Hallchute/src/Net/PeerTransport.h
+++ b/Hallchute/src/Net/PeerTransport.h
@@ -21,27 +21,28 @@
 class EventLoop;
 class PeerConnection;
 
-/// \brief Streams to and from other daemons, one connection a pair and direction.
+/// \brief Streams to and from other daemons, over one connection per peer and direction.
 /// \ingroup Net
 ///
-/// Loop thread only. Outgoing connections leave from the daemon's own address. Bytes sent and
-/// received are counted for the control budget.
+/// Loop thread only. Outgoing connections are bound to the IP of the listening address. Bytes sent
+/// and received are counted towards the control-traffic budget.
 class PeerTransport {
  public:
-  using Server = std::function<void(const PeerStreamPtr& stream)>;
+  using StreamHandler = std::function<void(const PeerStreamPtr& stream)>;
 
-  /// \param listen where peers connect; \param secret shared by all daemons of the fleet.
+  /// \param listen address to accept peers at; \param secret shared by all daemons of the fleet.
   PeerTransport(EventLoop& loop, const std::string& listen, std::string secret);
   ~PeerTransport();
   PeerTransport(const PeerTransport&) = delete;
   PeerTransport& operator=(const PeerTransport&) = delete;
 
-  /// \brief Sets what answers streams that peers open at \p path.
-  void serve(std::string_view path, Server server);
-  /// \brief Opens a stream and sends its first message. It may close at once.
+  /// \brief Registers the handler of the streams that peers open at \p path.
+  void serve(std::string_view path, StreamHandler handler);
+  /// \brief Opens a stream and sends its first message. If that fails, onClosed follows from the
+  /// loop.
   PeerStreamPtr open(const std::string& address, std::string_view path, std::string_view message);
-  /// \brief Closes the connection to a peer that was declared dead.
-  void drop(const std::string& address);
+  /// \brief Closes the outgoing connection to a peer, for instance one declared dead.
+  void disconnect(const std::string& address);
   std::uint64_t bytesSent() const { return bytesSent_; }
   std::uint64_t bytesReceived() const { return bytesReceived_; }
 
@@ -53,13 +54,13 @@
   PeerConnection* find(std::uint64_t connection);
   void accept();
   void remove(std::uint64_t connection);
-  const Server* serverOf(const std::string& path) const;
+  const StreamHandler* findHandler(const std::string& path) const;
 
   EventLoop& loop_;
   std::string secret_;
   Poco::Net::ServerSocket listener_;
   Poco::Net::SocketAddress source_;
-  std::map<std::string, Server, std::less<>> servers_;
+  std::map<std::string, StreamHandler, std::less<>> handlers_;
   std::map<std::uint64_t, std::unique_ptr<PeerConnection>> connections_;
   std::map<std::string, std::uint64_t> outgoing_;
   std::uint64_t nextConnection_ = 1;
--- a/Hallchute/src/Net/SocketLiveness.cpp
+++ b/Hallchute/src/Net/SocketLiveness.cpp
@@ -10,18 +10,18 @@
 namespace Hallchute {
 namespace {
 
-/// Seconds of idleness before the first probe; the least that the kernel takes.
-constexpr int kProbeAfterSeconds = 1;
-constexpr int kProbeEverySeconds = 1;
-constexpr int kProbes = 2;
-/// Longer than a lost packet and its second retransmission, shorter than callers wait.
-constexpr int kUnacknowledgedMs = 2'500;
+/// Idle time before the first keepalive probe; the minimum that Linux accepts.
+constexpr int kKeepAliveIdleSeconds = 1;
+constexpr int kKeepAliveIntervalSeconds = 1;
+constexpr int kKeepAliveProbes = 2;
+/// Outlasts a lost packet and its second retransmission, but ends before callers time out.
+constexpr int kUserTimeoutMs = 2'500;
 
-/// Longer than any route's time limit: the owner's timers come first.
-constexpr int kUnacknowledgedOwnedMs = 60'000;
+/// Longer than the timeout of any route, so that the owner's timers expire first.
+constexpr int kOwnedUserTimeoutMs = 60'000;
 
 void setOption(int socket, int level, int name, int value) {
-  // A kernel without the option only notices later; nothing depends on it.
+  // Errors are ignored: without the option the kernel only detects a dead peer later.
   ::setsockopt(socket, level, name, &value, sizeof value);
 }
 
@@ -30,16 +30,16 @@
 void watchLiveness(Poco::Net::Socket& socket) {
   const int fd = socket.impl()->sockfd();
   setOption(fd, SOL_SOCKET, SO_KEEPALIVE, 1);
-  setOption(fd, IPPROTO_TCP, TCP_KEEPIDLE, kProbeAfterSeconds);
-  setOption(fd, IPPROTO_TCP, TCP_KEEPINTVL, kProbeEverySeconds);
-  setOption(fd, IPPROTO_TCP, TCP_KEEPCNT, kProbes);
-  setOption(fd, IPPROTO_TCP, TCP_USER_TIMEOUT, kUnacknowledgedMs);
+  setOption(fd, IPPROTO_TCP, TCP_KEEPIDLE, kKeepAliveIdleSeconds);
+  setOption(fd, IPPROTO_TCP, TCP_KEEPINTVL, kKeepAliveIntervalSeconds);
+  setOption(fd, IPPROTO_TCP, TCP_KEEPCNT, kKeepAliveProbes);
+  setOption(fd, IPPROTO_TCP, TCP_USER_TIMEOUT, kUserTimeoutMs);
 }
 
 void leaveLivenessToOwner(Poco::Net::Socket& socket) {
   const int fd = socket.impl()->sockfd();
   setOption(fd, SOL_SOCKET, SO_KEEPALIVE, 0);
-  setOption(fd, IPPROTO_TCP, TCP_USER_TIMEOUT, kUnacknowledgedOwnedMs);
+  setOption(fd, IPPROTO_TCP, TCP_USER_TIMEOUT, kOwnedUserTimeoutMs);
 }
 
 }  // namespace Hallchute
--- a/Hallchute/src/Net/SocketLiveness.h
+++ b/Hallchute/src/Net/SocketLiveness.h
@@ -10,17 +10,17 @@
 
 namespace Hallchute {
 
-/// \brief Makes the kernel end a connection whose other side is unreachable, within about 3 s.
+/// \brief Makes the kernel close the connection within about 3 s if the peer is unreachable.
 /// \ingroup Net
 ///
-/// Without it a connection through a cut hangs for minutes. An idle connection is probed after a
-/// second; sent bytes that stay unacknowledged for 2.5 s end it.
+/// By default a connection hangs for minutes after a network partition. Idle connections are probed
+/// after 1 s, and sent bytes that are not acknowledged within 2.5 s close the connection.
 void watchLiveness(Poco::Net::Socket& socket);
 
-/// \brief Leaves the end of a connection to its owner, who resets it. \ingroup Net
+/// \brief Leaves it to the owner to reset the connection if the peer is unreachable. \ingroup Net
 ///
-/// Where the kernel gives up by itself nothing is left to reset, and bytes that a cut holds up may
-/// still arrive when the cut has healed.
+/// Once the kernel has closed a connection by itself, the owner can't send a reset any more, and
+/// bytes delayed by a network partition may still reach the peer when the partition heals.
 void leaveLivenessToOwner(Poco::Net::Socket& socket);
 
 }  // namespace Hallchute
--- a/Hallchute/src/Net/WireCodec.h
+++ b/Hallchute/src/Net/WireCodec.h
@@ -17,14 +17,14 @@
 
 namespace Hallchute {
 
-/// \brief A type whose members go over the wire: `wireFields(t)` is a tuple of references.
+/// \brief A serializable type: `wireFields(t)` returns a tuple of references to its members.
 /// \ingroup Net
 template <typename T>
 concept WireType = requires(T& value) {
   wireFields(value);
 };
 
-/// \brief The wire form of \p message: MessagePack, members as an array.
+/// \brief Serializes \p message as MessagePack, with the members as an array.
 /// \ingroup Net
 template <typename T>
 std::string pack(const T& message) {
@@ -33,7 +33,7 @@
   return {buffer.data(), buffer.size()};
 }
 
-/// \brief Reads a message; nothing if \p bytes are none of type T.
+/// \brief Deserializes a message; nothing if \p bytes do not hold a T.
 /// \ingroup Net
 template <typename T>
 std::optional<T> unpack(std::string_view bytes) {
@@ -102,7 +102,7 @@
   struct pack<T, void> {
     template <typename Stream>
     packer<Stream>& operator()(packer<Stream>& out, const T& message) const {
-      // wireFields() takes a mutable reference for reading in; packing changes nothing.
+      // wireFields() takes a non-const reference for deserialization; packing modifies nothing.
       auto fields = wireFields(const_cast<T&>(message));
       out.pack_array(std::tuple_size_v<decltype(fields)>);
       std::apply([&](const auto&... field) { (out.pack(field), ...); }, fields);
--- a/Hallchute/src/Platform/HostListJson.cpp
+++ b/Hallchute/src/Platform/HostListJson.cpp
@@ -11,7 +11,7 @@
 namespace {
 
 constexpr std::array<std::string_view, 2> kRoles{"upstream", "entry"};
-constexpr std::int64_t kMost = INT64_MAX;
+constexpr std::int64_t kMaxInteger = INT64_MAX;
 
 HostListEntry readHost(const JsonObject& json, const std::string& path, Findings& findings) {
   JsonReader reader(json, path, findings);
@@ -22,9 +22,10 @@
   entry.address = reader.text("address", true);
   entry.service = ServiceName(reader.text("service", entry.role == HostRole::upstream));
   entry.machineClass = reader.text("machineClass", false);
-  entry.pricePerHour = reader.integer("pricePerHour", 0, kMost, 0);
+  entry.pricePerHour = reader.integer("pricePerHour", 0, kMaxInteger, 0);
   entry.reclaimable = reader.boolean("reclaimable", true);
-  if (reader.has("leavesInMs")) entry.leavesIn = Millis(reader.integer("leavesInMs", 0, kMost, 0));
+  if (reader.has("leavesInMs"))
+    entry.leavesIn = Millis(reader.integer("leavesInMs", 0, kMaxInteger, 0));
   return entry;
 }
 
@@ -33,7 +34,7 @@
 HostList readHostList(const JsonObject& json, Findings& findings) {
   HostList list;
   JsonReader reader(json, "", findings);
-  list.version = static_cast<std::uint64_t>(reader.integer("version", 0, kMost, 0));
+  list.version = static_cast<std::uint64_t>(reader.integer("version", 0, kMaxInteger, 0));
   const auto hosts = json->getArray("hosts");
   if (!hosts) {
     reader.report("hosts", "must be an array");
--- a/Hallchute/src/Platform/HostListJson.h
+++ b/Hallchute/src/Platform/HostListJson.h
@@ -12,7 +12,7 @@
 
 namespace Hallchute {
 
-/// \brief Reads the platform's host list. Lines with faults are left out and reported.
+/// \brief Reads the platform's host list. Invalid entries are skipped and reported as findings.
 /// \ingroup Platform
 HostList readHostList(const JsonObject& json, Findings& findings);
 
--- a/Hallchute/src/Platform/PlatformBreaker.cpp
+++ b/Hallchute/src/Platform/PlatformBreaker.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 template <typename T>
-bool isOut(const PlatformReply<T>& reply) {
+bool isUnavailable(const PlatformReply<T>& reply) {
   if (const auto* refused = std::get_if<Refused>(&reply)) {
     return refused->reason == PlatformRefusal::unavailable;
   }
@@ -19,21 +19,22 @@
 
 }  // namespace
 
-/// The first caller after the pause goes through and keeps the others waiting for its word.
-bool PlatformBreaker::mayCall() {
+/// After kOpenDuration one trial call is let through; the compare-exchange keeps the circuit open
+/// for all other callers until its reply.
+bool PlatformBreaker::allowCall() {
   Instant::rep until = openUntil_;
   if (until == 0) return true;
   const Instant now = clockNow();
   if (now.time_since_epoch().count() < until) return false;
-  const Instant::rep next = (now + kOpenFor).time_since_epoch().count();
+  const Instant::rep next = (now + kOpenDuration).time_since_epoch().count();
   return openUntil_.compare_exchange_strong(until, next);
 }
 
 template <typename T, typename Call>
 PlatformReply<T> PlatformBreaker::guard(const Call& call) {
-  if (!mayCall()) return Refused{PlatformRefusal::unavailable, "the platform was just found out"};
+  if (!allowCall()) return Refused{PlatformRefusal::unavailable, "the platform was just found out"};
   PlatformReply<T> reply = call();
-  openUntil_ = isOut(reply) ? (clockNow() + kOpenFor).time_since_epoch().count() : 0;
+  openUntil_ = isUnavailable(reply) ? (clockNow() + kOpenDuration).time_since_epoch().count() : 0;
   return reply;
 }
 
--- a/Hallchute/src/Platform/PlatformBreaker.h
+++ b/Hallchute/src/Platform/PlatformBreaker.h
@@ -10,16 +10,17 @@
 
 namespace Hallchute {
 
-/// \brief Answers for a platform that is out, so that callers get their refusal at once.
+/// \brief Circuit breaker: fails calls immediately while the platform is unavailable.
 /// \ingroup Platform
 ///
-/// After a call that found the platform silent or unreachable, calls of the next kOpenFor are
-/// refused as unavailable without being made; then one is let through to see. A connection that
-/// the platform closed does not open it: there a reply was lost and must be read again. Watches
-/// wait by their nature and pass unguarded. Any thread.
+/// A call that times out or finds the platform unavailable opens the circuit: for kOpenDuration
+/// calls are refused as unavailable without being sent, then one trial call is let through. A write
+/// whose connection the platform closed does not open it: its reply was lost, and the caller must
+/// be able to read the object at once. Watches bypass the breaker, since they wait by design. Any
+/// thread.
 class PlatformBreaker final : public PlatformPort {
  public:
-  static constexpr Millis kOpenFor{500};
+  static constexpr Millis kOpenDuration{500};
 
   explicit PlatformBreaker(PlatformPort& platform) : platform_(platform) {}
 
@@ -36,7 +37,7 @@
  private:
   template <typename T, typename Call>
   PlatformReply<T> guard(const Call& call);
-  bool mayCall();
+  bool allowCall();
 
   PlatformPort& platform_;
   std::atomic<Instant::rep> openUntil_{0};
--- a/Hallchute/src/Platform/PlatformHttp.cpp
+++ b/Hallchute/src/Platform/PlatformHttp.cpp
@@ -42,11 +42,11 @@
   return Refused{PlatformRefusal::rejected, detail};
 }
 
-/// Runs one call. \p parse turns the body of a 200 into the value, or gives nothing.
+/// Performs one call. \p parse converts the JSON body of a 200 response to the value.
 template <typename T, typename Parse>
-PlatformReply<T> perform(const HttpRoute& route, const HttpCall& call, Effect effect,
+PlatformReply<T> perform(const HttpEndpoint& endpoint, const HttpCall& call, Effect effect,
                          const Parse& parse) {
-  HttpExchange exchange(route);
+  HttpExchange exchange(endpoint);
   const HttpResult result = exchange.run(call);
   return std::visit(Overloaded{[&](const HttpAnswer& answer) -> PlatformReply<T> {
                                  if (answer.status != 200) return refusalOf<T>(answer, effect);
@@ -96,7 +96,7 @@
       source_(std::move(source)),
       limit_(limit) {}
 
-HttpRoute PlatformHttp::route(Millis extraWait) const {
+HttpEndpoint PlatformHttp::endpoint(Millis extraWait) const {
   return {address_, source_, limit_, limit_ + extraWait};
 }
 
@@ -109,8 +109,8 @@
 }
 
 PlatformReply<StoredObject> PlatformHttp::read(std::string_view key) {
-  return perform<StoredObject>(route(Millis(0)), makeCall("GET", objectTarget(key)), Effect::none,
-                               objectOf);
+  return perform<StoredObject>(endpoint(Millis(0)), makeCall("GET", objectTarget(key)),
+                               Effect::none, objectOf);
 }
 
 PlatformReply<std::uint64_t> PlatformHttp::write(std::string_view key, std::string_view value,
@@ -118,13 +118,13 @@
   HttpCall call = makeCall("PUT", objectTarget(key) + "?ifVersion=" + std::to_string(ifVersion));
   call.body = value;
   call.contentType = "application/octet-stream";
-  return perform<std::uint64_t>(route(Millis(0)), call, Effect::possible, versionOf);
+  return perform<std::uint64_t>(endpoint(Millis(0)), call, Effect::possible, versionOf);
 }
 
 PlatformReply<std::uint64_t> PlatformHttp::remove(std::string_view key, std::uint64_t ifVersion) {
   const HttpCall call =
       makeCall("DELETE", objectTarget(key) + "?ifVersion=" + std::to_string(ifVersion));
-  return perform<std::uint64_t>(route(Millis(0)), call, Effect::possible, versionOf);
+  return perform<std::uint64_t>(endpoint(Millis(0)), call, Effect::possible, versionOf);
 }
 
 PlatformReply<ObjectList> PlatformHttp::list(std::string_view prefix, std::string_view after,
@@ -132,7 +132,7 @@
   const HttpCall call =
       makeCall("GET", "/v1/objects?prefix=" + encoded(prefix) + "&after=" + encoded(after) +
                           "&limit=" + std::to_string(most));
-  return perform<ObjectList>(route(Millis(0)), call, Effect::none, listOf);
+  return perform<ObjectList>(endpoint(Millis(0)), call, Effect::none, listOf);
 }
 
 PlatformReply<ObjectList> PlatformHttp::watch(std::string_view prefix, std::uint64_t since,
@@ -140,11 +140,11 @@
   const HttpCall call =
       makeCall("GET", "/v1/watch?prefix=" + encoded(prefix) + "&since=" + std::to_string(since) +
                           "&waitMs=" + std::to_string(wait.count()));
-  return perform<ObjectList>(route(wait), call, Effect::none, listOf);
+  return perform<ObjectList>(endpoint(wait), call, Effect::none, listOf);
 }
 
 PlatformReply<HostList> PlatformHttp::hosts() {
-  return perform<HostList>(route(Millis(0)), makeCall("GET", "/v1/hosts"), Effect::none,
+  return perform<HostList>(endpoint(Millis(0)), makeCall("GET", "/v1/hosts"), Effect::none,
                            [](const JsonObject& json) {
                              Findings findings;
                              return readHostList(json, findings);
--- a/Hallchute/src/Platform/PlatformHttp.h
+++ b/Hallchute/src/Platform/PlatformHttp.h
@@ -11,13 +11,14 @@
 namespace Hallchute {
 
 struct HttpCall;
-struct HttpRoute;
+struct HttpEndpoint;
 
-/// \brief The platform over its HTTP API; docs/API.md describes it.
+/// \brief Client of the platform's HTTP API, which docs/API.md describes.
 /// \ingroup Platform
 class PlatformHttp final : public PlatformPort {
  public:
-  /// \param source the own IP; \param limit the longest wait for a connection and for an answer.
+  /// \param source local IP to connect from; \param limit timeout for the connection and for the
+  /// response.
   PlatformHttp(std::string address, std::string token, std::string source, Millis limit);
 
   PlatformReply<StoredObject> read(std::string_view key) override;
@@ -32,7 +33,7 @@
 
  private:
   HttpCall makeCall(std::string method, std::string target) const;
-  HttpRoute route(Millis extraWait) const;
+  HttpEndpoint endpoint(Millis extraWait) const;
 
   std::string address_;
   std::string token_;
--- a/Hallchute/src/Ports/DutyPort.h
+++ b/Hallchute/src/Ports/DutyPort.h
@@ -12,10 +12,11 @@
 
 namespace Hallchute {
 
-/// \brief The platform's side of the duties. \ingroup Ports
+/// \brief The platform's interface for the fleet's duties. \ingroup Ports
 ///
-/// Calls block; one thread. Errors: `Aborted` where another revision or a higher epoch was there,
-/// `NotFound`, `Unavailable` where nothing was done, `Unknown` where it may be, also later.
+/// Calls block; not thread-safe. Errors: `Aborted` if the stored record has another revision or a
+/// higher epoch, `NotFound`, `Unavailable` if the call had no effect, `Unknown` if it may have had
+/// or may yet have one.
 class DutyPort {
  public:
   DutyPort() = default;
@@ -29,7 +30,7 @@
   virtual absl::StatusOr<std::uint64_t> write(const DutyRecord& record, std::uint64_t revision) = 0;
   virtual absl::Status reportUsage(const DutyHolder& holder, std::int64_t window,
                                    const UsageCounts& counts) = 0;
-  /// \brief Orders a number of replicas. `ResourceExhausted` where none are to be had.
+  /// \brief Orders a number of replicas. `ResourceExhausted` if none are available.
   virtual absl::Status order(const DutyHolder& holder, const ReplicaOrder& order) = 0;
 };
 
--- a/Hallchute/src/Ports/EnginePort.h
+++ b/Hallchute/src/Ports/EnginePort.h
@@ -15,51 +15,50 @@
 
 namespace Hallchute {
 
-/// \brief A generation asked of an engine.
+/// \brief A request to an engine to generate an answer.
 /// \ingroup Ports
 struct GenerateRequest {
   std::string request;
   std::uint64_t epoch = 0;
   std::string prompt;
   std::size_t maxTokens = 0;
-  /// The answer so far; the engine goes on after it.
+  /// Tokens already generated; the engine continues after them.
   std::vector<std::string> tokensSoFar;
   std::int64_t priority = 5;
-  /// Cached tokens imported under this handle; empty for none.
+  /// Handle of an imported cache, see importCache(); empty for none.
   std::string cacheHandle;
 };
 
 /// \brief How a stream from an engine ended.
 /// \ingroup Ports
 enum class StreamEnd {
-  /// The receiver said stop.
+  /// The receiver asked to stop.
   stopped,
-  /// No connection: nothing was sent.
+  /// The connection failed; nothing was sent.
   connectFailed,
-  /// The engine refused: nothing runs there.
+  /// The engine refused the request and does not run it.
   refused,
-  /// The engine says that it leaves and takes nothing new.
+  /// The engine is leaving and accepts no new requests.
   leaving,
-  /// It broke, closed or fell silent.
+  /// The connection failed, was closed or timed out.
   broke,
 };
 
-/// \brief How a stream ended, and why.
 /// \ingroup Ports
 struct StreamResult {
   StreamEnd end = StreamEnd::broke;
   std::string detail;
-  /// For `leaving`: time left there.
+  /// For `leaving`: time until the engine leaves.
   Millis leavesIn{0};
 };
 
-/// \brief The engine's word on how many context tokens it had to compute for this attempt.
-/// \ingroup Ports
+/// \brief Number of context tokens that the engine had to compute, not in its cache, for this
+/// attempt. \ingroup Ports
 struct ComputedWord {
   std::size_t tokens = 0;
 };
 
-/// \brief The engine's word that it leaves; the stream goes on meanwhile.
+/// \brief Announces that the engine will leave; the stream continues until then.
 /// \ingroup Ports
 struct LeavingWord {
   Millis leavesIn{0};
@@ -72,7 +71,7 @@
 /// \ingroup Ports
 class EnginePort {
  public:
-  /// \returns whether to go on reading.
+  /// \returns whether to continue reading.
   using Receiver = std::function<bool(const EngineEvent&)>;
 
   EnginePort() = default;
@@ -81,7 +80,7 @@
   virtual ~EnginePort() = default;
 
   /// \brief Streams an answer; blocks until it ends.
-  /// \param stallLimit the longest silence.
+  /// \param stallTimeout longest time without data.
   virtual StreamResult generate(const GenerateRequest& request, Millis stallLimit,
                                 const Receiver& receiver) = 0;
   /// \brief Stops a request; best effort.
--- a/Hallchute/src/Ports/ObjectSource.h
+++ b/Hallchute/src/Ports/ObjectSource.h
@@ -16,26 +16,26 @@
 
 namespace Hallchute {
 
-/// \brief An object of a platform's store, or that it was deleted. \ingroup Ports
+/// \brief An object in the platform's store, or a record of its deletion. \ingroup Ports
 struct SourceObject {
   std::string name;
-  /// Of its last change.
+  /// Store revision of the last change to the object.
   std::uint64_t revision = 0;
   JsonObject content;
   bool deleted = false;
 };
 
-/// \brief Objects and the store's revision they are as of. \ingroup Ports
+/// \brief Objects, and the store revision that they reflect. \ingroup Ports
 struct SourceBatch {
   std::vector<SourceObject> objects;
   std::uint64_t asOf = 0;
 };
 
-/// \brief The objects of one kind in a platform's store: a list, and what changes after it.
+/// \brief Lists and watches the objects of one kind in the platform's store.
 /// \ingroup Ports
 ///
-/// Calls block; one thread a source. Errors: `Unavailable` and `DeadlineExceeded` where the store
-/// doesn't answer, `OutOfRange` where its history no longer reaches back to the revision.
+/// Calls block; not thread-safe. Errors: `Unavailable` and `DeadlineExceeded` if the store does not
+/// respond, `OutOfRange` if its history no longer covers the revision.
 class ObjectSource {
  public:
   ObjectSource() = default;
@@ -44,7 +44,7 @@
   virtual ~ObjectSource() = default;
 
   virtual absl::StatusOr<SourceBatch> list(ReadAge age) = 0;
-  /// \brief Changes after \p revision; an empty batch if none came within \p wait.
+  /// \brief Changes after \p revision; an empty batch if there are none within \p wait.
   virtual absl::StatusOr<SourceBatch> watch(std::uint64_t revision, Millis wait) = 0;
 };
 
--- a/Hallchute/src/Ports/PlainServicePort.h
+++ b/Hallchute/src/Ports/PlainServicePort.h
@@ -13,7 +13,7 @@
 
 namespace Hallchute {
 
-/// \brief A request passed on to a plain service.
+/// \brief A request forwarded to a plain service.
 /// \ingroup Ports
 struct PlainRequest {
   std::string method;
@@ -23,23 +23,23 @@
   std::vector<std::pair<std::string, std::string>> headers;
 };
 
-/// \brief A whole answer.
+/// \brief A complete response.
 /// \ingroup Ports
 struct PlainAnswer {
   int status = 0;
   std::string contentType;
   std::string body;
-  /// The service said with it that it leaves and did not run the request.
+  /// The service responded that it is leaving and did not run the request.
   bool leaving = false;
 };
 
-/// \brief No byte of the request left: it surely did not run.
+/// \brief No byte of the request was sent, so it did not run.
 /// \ingroup Ports
 struct PlainNeverSent {
   std::string detail;
 };
 
-/// \brief It may have run; no whole answer came.
+/// \brief The request may have run, but there is no complete response.
 /// \ingroup Ports
 struct PlainMaybeSent {
   std::string detail;
@@ -48,7 +48,7 @@
 /// \ingroup Ports
 using PlainResult = std::variant<PlainAnswer, PlainNeverSent, PlainMaybeSent>;
 
-/// \brief A plain service. One call sends at most one request.
+/// \brief Client of a plain service. Each call sends at most one request.
 /// \ingroup Ports
 class PlainServicePort {
  public:
--- a/Hallchute/src/Ports/PlatformPort.h
+++ b/Hallchute/src/Ports/PlatformPort.h
@@ -15,7 +15,7 @@
 
 namespace Hallchute {
 
-/// \brief An object of the platform.
+/// \brief An object in the platform's object store.
 /// \ingroup Ports
 struct StoredObject {
   std::string key;
@@ -23,25 +23,25 @@
   std::string value;
 };
 
-/// \brief Objects under a prefix and the platform's version at that time.
+/// \brief Objects under a prefix, and the store version that they reflect.
 /// \ingroup Ports
 struct ObjectList {
   std::uint64_t version = 0;
   std::vector<StoredObject> objects;
 };
 
-/// \brief The platform's list of hosts; it lags behind the hosts themselves.
+/// \brief The platform's list of hosts; it lags behind their actual state.
 /// \ingroup Ports
 struct HostList {
   std::uint64_t version = 0;
   std::vector<HostListEntry> hosts;
 };
 
-/// \brief The platform's object service and host list.
+/// \brief The platform's object store and host list.
 /// \ingroup Ports
 ///
-/// Every call blocks, for at most the time limit its adapter was given (a watch: plus its wait).
-/// Calls may come from any thread.
+/// Calls block for at most the adapter's timeout; a watch adds its wait to that. Calls may be made
+/// from any thread.
 class PlatformPort {
  public:
   PlatformPort() = default;
@@ -50,7 +50,7 @@
   virtual ~PlatformPort() = default;
 
   virtual PlatformReply<StoredObject> read(std::string_view key) = 0;
-  /// \brief Writes if the object has \p ifVersion; 0 means: if it is absent.
+  /// \brief Writes if the object has version \p ifVersion; 0 means that it must not exist.
   /// \returns the new version.
   virtual PlatformReply<std::uint64_t> write(std::string_view key, std::string_view value,
                                              std::uint64_t ifVersion) = 0;
--- a/Hallchute/src/Ports/PlatformReply.h
+++ b/Hallchute/src/Ports/PlatformReply.h
@@ -9,42 +9,42 @@
 
 namespace Hallchute {
 
-/// \brief The platform did what was asked.
+/// \brief The call succeeded.
 /// \ingroup Ports
 template <typename T>
 struct Done {
   T value;
 };
 
-/// \brief Why the platform did not do it.
+/// \brief Why a call had no effect.
 /// \ingroup Ports
 enum class PlatformRefusal {
-  /// The object has another version than the one asked for.
+  /// The object does not have the expected version.
   conflict,
   /// There is no such object.
   absent,
-  /// The platform could not be reached, or said that it is out: nothing was done.
+  /// The platform is unreachable or reported itself unavailable.
   unavailable,
-  /// The platform rejects the call as such.
+  /// The platform rejected the call as invalid, or its response can't be read.
   rejected,
 };
 
-/// \brief The call surely had no effect.
+/// \brief The call had no effect.
 /// \ingroup Ports
 struct Refused {
   PlatformRefusal reason = PlatformRefusal::unavailable;
   std::string detail = {};
 };
 
-/// \brief The call may have had its effect: its reply was lost.
+/// \brief The reply was lost; the call may have taken effect.
 /// \ingroup Ports
 struct NotKnown {
   std::string detail;
-  /// Whether the platform fell silent, rather than closed the connection.
+  /// Whether the call timed out, rather than the platform closed the connection.
   bool silent = false;
 };
 
-/// \brief The three ways in which a call to the platform ends.
+/// \brief The outcome of a call to the platform.
 /// \ingroup Ports
 template <typename T>
 using PlatformReply = std::variant<Done<T>, Refused, NotKnown>;
--- a/Hallchute/src/Ports/ReadAge.h
+++ b/Hallchute/src/Ports/ReadAge.h
@@ -6,11 +6,11 @@
 
 namespace Hallchute {
 
-/// \brief Which state of the store a read may show. \ingroup Ports
+/// \brief How recent the state returned by a read of the store must be. \ingroup Ports
 enum class ReadAge {
-  /// The newest.
+  /// The most recent state.
   newest,
-  /// Maybe some seconds old: the store may answer it from a copy, for less.
+  /// Possibly some seconds old: the store may serve the read from a replica, at lower cost.
   maybeOld,
 };
 
--- a/Hallchute/src/Ports/TrafficCodec.h
+++ b/Hallchute/src/Ports/TrafficCodec.h
@@ -15,54 +15,54 @@
 
 namespace Hallchute {
 
-/// \brief A part of a prompt; requests with the same first parts share the engine's cache of them.
-/// \ingroup Ports
+/// \brief A part of a prompt; requests that start with the same parts share the engine's prefix
+/// cache. \ingroup Ports
 struct PromptPart {
   std::string id;
   std::uint64_t tokens = 0;
 };
 
-/// \brief What a caller's request says of itself. \ingroup Ports
+/// \brief The metadata in a caller's request. \ingroup Ports
 struct ClientRequest {
   RequestId id;
-  /// How long the caller waits from the moment it sent the request.
+  /// How long the caller waits, counted from when it sent the request.
   std::optional<Millis> deadline;
   /// The bearer token; empty if there is none.
   std::string key;
   std::vector<PromptPart> prompt;
-  /// Tokens of the prompt and the most to be generated; nothing if the request doesn't say.
+  /// Length of the prompt; nothing if the request does not state it.
   std::optional<std::uint64_t> promptTokens;
   std::uint64_t maxOutputTokens = 0;
 };
 
-/// \brief What the system tells an upstream beside the request itself. \ingroup Ports
+/// \brief Metadata sent to an upstream along with the request. \ingroup Ports
 struct DispatchTerms {
   Millis remaining{0};
   UpstreamId upstream;
-  /// Empty on a route that needs no key.
+  /// Empty on a route that needs no API key.
   OrganisationName organisation;
-  /// 0 is the most urgent; nothing leaves the choice to the upstream.
+  /// 0 is the most urgent; if unset, the upstream applies its default.
   std::optional<int> urgency;
-  /// Where a stream goes on; empty for a first run.
+  /// The event after which a stream resumes; empty for a first run.
   std::string lastEventId;
-  /// The address of an upstream from which the prompt's kept parts are copied; empty if none.
+  /// Address of an upstream to copy the cached parts of the prompt from; empty if none.
   std::string cacheSource;
 };
 
-/// \brief What the head of an upstream's answer says. \ingroup Ports
+/// \brief The metadata in the head of an upstream's response. \ingroup Ports
 struct UpstreamAnswer {
   RequestId id;
-  /// The upstream promises that it did not run the request.
+  /// The upstream guarantees that it did not run the request.
   bool notExecuted = false;
-  /// Another upstream than the expected one lives at the address.
+  /// The address now belongs to another upstream than the expected one.
   bool otherUpstream = false;
-  /// The answer bears the upstream's signature.
+  /// The response has a signature field.
   bool authentic = false;
 };
 
-/// \brief Reads and writes the header fields of callers and upstreams. \ingroup Ports
+/// \brief Reads and writes the header fields exchanged with callers and upstreams. \ingroup Ports
 ///
-/// The adapter of a platform implements it; pure.
+/// Implemented by the adapter of a platform; must be free of side effects.
 class TrafficCodec {
  public:
   TrafficCodec() = default;
@@ -71,7 +71,8 @@
   virtual ~TrafficCodec() = default;
 
   virtual ClientRequest readRequest(const HttpHead& head) const = 0;
-  /// \brief The fields for an upstream: the caller's own but those the system sets or hides.
+  /// \brief The header fields for an upstream: the caller's, except those that are overridden or
+  /// removed.
   virtual HttpFields dispatchFields(const HttpHead& head, const DispatchTerms& terms) const = 0;
   virtual UpstreamAnswer readAnswer(const HttpHead& head) const = 0;
 };
