--- a/Hallchute/src/Daemon/GrantBroker.cpp
+++ b/Hallchute/src/Daemon/GrantBroker.cpp
@@ -128,7 +128,7 @@
   const std::vector<DaemonId> ranked = rankOwners(shard.text(), membership_.owners(shard.domain));
   if (wish->ownersAsked >= std::min(kOwnersAsked, ranked.size())) {
     if (home) {
-      shard.index = ShardOwners::kAlone;
+      shard.index = ShardOwners::kFallbackIndex;
       metrics_.add("hallchute_grants_alone_total", "");
       askLocal(wish, shard);
       return;
@@ -259,7 +259,7 @@
                          RunOutcome::notRun, kNoUpstreamRetryAfter});
     return;
   }
-  auto hold = std::make_unique<GrantHold>(
+  auto hold = std::make_unique<ScopedGrant>(
       upstream, info->host.address,
       [this, key = active->key] { loop_.post([this, key] { noteFirstToken(key); }); },
       [this, key = active->key](GrantEnd end) {
@@ -290,9 +290,9 @@
 }
 
 void GrantBroker::onOwnersChanged() {
-  owners_.setSharers(membership_.owners(membership_.self().domain).size());
+  owners_.setDaemonCount(membership_.owners(membership_.self().domain).size());
   for (const auto& [key, active] : active_) {
-    if (active->shard.index == ShardOwners::kAlone) continue;
+    if (active->shard.index == ShardOwners::kFallbackIndex) continue;
     const auto owner = ownerOf(active->shard);
     if (!owner || *owner == active->owner) continue;
     if (active->localId != 0) {
--- a/Hallchute/src/Daemon/OnceKeeper.cpp
+++ b/Hallchute/src/Daemon/OnceRecordStore.cpp
@@ -1,7 +1,7 @@
 // This file is part of hallchute, a serving system for language models.
 // SPDX-License-Identifier: Apache-2.0
 
-#include "Hallchute/src/Daemon/OnceKeeper.h"
+#include "Hallchute/src/Daemon/OnceRecordStore.h"
 
 #include "Hallchute/src/Core/Overloaded.h"
 #include "Hallchute/src/Daemon/PlatformHealth.h"
@@ -13,13 +13,13 @@
 
 namespace Hallchute {
 
-OnceKeeper::OnceKeeper(TrafficContext& context) : context_(context) {}
+OnceRecordStore::OnceRecordStore(TrafficContext& context) : context_(context) {}
 
-OnceEvent OnceKeeper::write(const std::string& key, const OnceRecord& record,
-                            std::uint64_t ifVersion) {
+OnceEvent OnceRecordStore::write(const std::string& key, const OnceRecord& record,
+                                 std::uint64_t ifVersion) {
   context_.metrics.add("hallchute_platform_calls_total", "kind=\"once-write\"");
   return std::visit(Overloaded{[&](const Done<std::uint64_t>& done) -> OnceEvent {
-                                 context_.health.noteAnswer(clockNow());
+                                 context_.health.recordAnswer(clockNow());
                                  return RecordWritten{done.value};
                                },
                                [](const Refused& refused) -> OnceEvent {
@@ -31,7 +31,7 @@
                     context_.platform.write(key, onceText(record), ifVersion));
 }
 
-OnceEvent OnceKeeper::read(const std::string& key) {
+OnceEvent OnceRecordStore::read(const std::string& key) {
   context_.metrics.add("hallchute_platform_calls_total", "kind=\"once-read\"");
   return std::visit(Overloaded{[&](const Done<StoredObject>& done) -> OnceEvent {
                                  Findings findings;
@@ -51,7 +51,7 @@
                     context_.platform.read(key));
 }
 
-void OnceKeeper::storeLater(const std::string& key, const OnceRecord& record) {
+void OnceRecordStore::storeLater(const std::string& key, const OnceRecord& record) {
   const std::lock_guard lock(mutex_);
   waiting_.push_back({key, record});
   if (waiting_.size() <= kMaxWaiting) return;
@@ -60,7 +60,7 @@
   logLine(LogLevel::error, "an outcome that could not be stored was let go");
 }
 
-std::size_t OnceKeeper::flush() {
+std::size_t OnceRecordStore::flush() {
   std::deque<Waiting> tries;
   {
     const std::lock_guard lock(mutex_);
@@ -79,7 +79,7 @@
 }
 
 /// \returns whether the record stands, or is another attempt's by now.
-bool OnceKeeper::store(const Waiting& waiting) {
+bool OnceRecordStore::store(const Waiting& waiting) {
   const OnceEvent event = read(waiting.key);
   if (std::holds_alternative<RecordAbsent>(event)) {
     // The creation never took effect. An abandoned attempt needs no record; an outcome does.
--- a/Hallchute/src/Daemon/PeerJobs.cpp
+++ b/Hallchute/src/Daemon/PeerJobs.cpp
@@ -136,7 +136,7 @@
       if (findings.empty() && !leaving) {
         if (context_.jobs.find(record.request) == nullptr) {
           const JobPtr job = makeJob(record, settings->tree, context_.domain);
-          records_.takeOverSoon(job->spec().request);
+          records_.scheduleTakeOver(job->spec().request);
           starter_.start(job);
         }
         reply.taken = true;
--- a/Hallchute/src/Http/TcpChannel.cpp
+++ b/Hallchute/src/Http/TcpChannel.cpp
@@ -92,7 +92,7 @@
   return out_.size() + static_cast<std::size_t>(inKernel);
 }
 
-bool TcpChannel::quiet() const {
+bool TcpChannel::isOpenAndIdle() const {
   if (ended_ || connecting_) return false;
   char byte = 0;
   const ssize_t got = ::recv(fd_, &byte, 1, MSG_PEEK | MSG_DONTWAIT);
@@ -114,7 +114,7 @@
   ended_ = true;
   loop_.cancel(connectTimer_);
   if (fd_ >= 0) loop_.unwatch(fd_);
-  owner_.channelEnded(end);
+  owner_.onChannelEnded(end);
 }
 
 void TcpChannel::onEvents(short events) {
@@ -146,11 +146,11 @@
   static thread_local std::array<char, kReadSize> buffer;
   const ssize_t got = ::recv(fd_, buffer.data(), buffer.size(), MSG_DONTWAIT);
   if (got > 0) {
-    owner_.channelBytes({buffer.data(), static_cast<std::size_t>(got)});
+    owner_.onChannelBytes({buffer.data(), static_cast<std::size_t>(got)});
     return;
   }
   if (got == 0) {
-    fail(ChannelEnd::finished);
+    fail(ChannelEnd::peerClosed);
     return;
   }
   if (errno != EAGAIN && errno != EWOULDBLOCK && errno != EINTR) fail(ChannelEnd::broken);
--- a/Hallchute/src/Node/NodeStartup.cpp
+++ b/Hallchute/src/Node/NodeStartup.cpp
@@ -74,10 +74,11 @@
   startup.domain = DomainName(root.text("failureDomain", true));
   startup.ownIp = root.text("ip", true);
   startup.logLevel = root.oneOf("logLevel", kLogLevels);
-  startup.seeds = root.texts("seeds");
+  startup.seeds = root.stringList("seeds");
   const double processors = root.number("processors", 0, kMaxProcessors, 1);
   startup.capacity = static_cast<std::uint32_t>(processors * 1'000);
-  for (const std::string& name : root.texts("failureDomains")) startup.domains.emplace_back(name);
+  for (const std::string& name : root.stringList("failureDomains"))
+    startup.domains.emplace_back(name);
   startup.descriptors = static_cast<std::size_t>(
       root.integer("descriptors", kMinDescriptors, kMaxDescriptors, 1'024));
   for (const char* section : {"listen", "store"}) {
--- a/bench/slopes/main.cpp
+++ b/bench/slopes/main.cpp
@@ -194,10 +194,10 @@
   std::vector<std::string> texts;
   texts.reserve(kChanges);
   for (int i = 0; i < kChanges; ++i) {
-    texts.push_back(
-        changeText(change(static_cast<std::uint64_t>(i) + 2,
-                          R"({"organisations":{"org)" + std::to_string(i % organisations) +
-                              R"(":{"policy":{"maxQueue":)" + std::to_string(i + 1) + "}}}}")));
+    texts.push_back(serializeChange(
+        change(static_cast<std::uint64_t>(i) + 2,
+               R"({"organisations":{"org)" + std::to_string(i % organisations) +
+                   R"(":{"policy":{"maxQueue":)" + std::to_string(i + 1) + "}}}}")));
   }
   const double before = cpuSeconds();
   for (const std::string& text : texts) log.add(parseChange(text, findings));
@@ -207,7 +207,7 @@
   line("settings", at, "bytes per change", static_cast<double>(texts.back().size()));
   line("settings", at, "state with 128 changes, KB", (heapBytes() - heapBefore) / 1024);
   line("settings", at, "snapshot, KB",
-       static_cast<double>(jsonText(log.inForce()->json).size()) / 1024);
+       static_cast<double>(jsonText(log.activeSettings()->json).size()) / 1024);
 }
 
 void onceRecords() {
