--- a/Hallchute/src/Daemon/AnswerRunner.cpp
+++ b/Hallchute/src/Daemon/AnswerRunner.cpp
@@ -142,14 +142,14 @@
 bool AnswerRunner::onEvent(const EngineEvent& event, const ScopedGrant& grant) {
   dispatched_ = true;
   std::visit(
-      Overloaded{[&](const ComputedWord& computed) {
+      Overloaded{[&](const ComputedTokens& computed) {
                    // Tokens that an earlier attempt had already computed are lost work.
                    if (resumption_) {
                      context_.metrics.add("hallchute_recomputed_tokens_total", metricLabels(),
                                           computed.tokens);
                    }
                  },
-                 [&](const LeavingWord& leave) {
+                 [&](const LeaveNotice& leave) {
                    context_.noteLeave({grant.upstream(), leave.leavesIn, LeaveSource::upstream});
                  },
                  [&](const AnswerChunk& chunk) {
--- a/Hallchute/src/Daemon/GrantBroker.cpp
+++ b/Hallchute/src/Daemon/GrantBroker.cpp
@@ -71,7 +71,7 @@
       owners_(owners),
       metrics_(metrics) {
   transport_.serve(PeerPath::kGrant, [this](const PeerStreamPtr& s) { serveGrant(s); });
-  transport_.serve(PeerPath::kHold, [this](const PeerStreamPtr& s) { serveHold(s); });
+  transport_.serve(PeerPath::kReregisterGrant, [this](const PeerStreamPtr& s) { serveHold(s); });
 }
 
 GrantBroker::~GrantBroker() = default;
@@ -197,13 +197,13 @@
 
 void GrantBroker::onReply(const PendingRequestPtr& pending, const GrantReplyMessage& reply) {
   pending->acknowledged = true;
-  switch (reply.word) {
-    case GrantWord::queued:
+  switch (reply.kind) {
+    case GrantReplyKind::queued:
       return;
-    case GrantWord::granted:
+    case GrantReplyKind::granted:
       onGranted(pending, reply.upstream);
       return;
-    case GrantWord::refused:
+    case GrantReplyKind::refused:
       pending->stream->close();
       onRefused(pending, reply.refusal);
       return;
@@ -275,7 +275,7 @@
   if (it == activeGrants_.end()) return;
   const ActiveGrant& active = *it->second;
   if (active.localId != 0) owners_.noteFirstToken(active.shard, active.localId, clockNow());
-  if (active.stream) active.stream->send(pack(GrantNoteMessage{false, GrantEnd::cancelled}));
+  if (active.stream) active.stream->send(pack(GrantProgressMessage{false, GrantEnd::cancelled}));
 }
 
 void GrantBroker::release(std::uint64_t key, GrantEnd end) {
@@ -286,7 +286,7 @@
   if (active->localId != 0) owners_.release(active->shard, active->localId, end, clockNow());
   if (active->stream) {
     active->stream->onClosed = nullptr;
-    active->stream->send(pack(GrantNoteMessage{true, end}));
+    active->stream->send(pack(GrantProgressMessage{true, end}));
     active->stream->finish();
   }
 }
@@ -321,8 +321,8 @@
     return;
   }
   const std::string address = membership_.find(*owner)->status.address;
-  active->stream =
-      transport_.open(address, PeerPath::kHold, pack(HoldMessage{active->shard, active->existing}));
+  active->stream = transport_.open(address, PeerPath::kReregisterGrant,
+                                   pack(ReregisterGrantMessage{active->shard, active->existing}));
   active->stream->onClosed = [this, active] {
     active->stream = nullptr;
     loop_.after(kReportRetryDelay, [this, active] { reportToOwner(active); });
@@ -344,7 +344,7 @@
     const PeerStreamPtr openStream = weakStream.lock();
     if (!openStream) return;
     if (served->id != 0) {
-      const auto note = unpack<GrantNoteMessage>(bytes);
+      const auto note = unpack<GrantProgressMessage>(bytes);
       if (note && note->ended) served->end = note->end;
       if (note && !note->ended) owners_.noteFirstToken(served->shard, served->id, clockNow());
       return;
@@ -364,12 +364,12 @@
       if (!replyStream) return;
       GrantReplyMessage reply;
       std::visit(Overloaded{[&](const Granted& g) {
-                              reply.word = GrantWord::granted;
+                              reply.kind = GrantReplyKind::granted;
                               reply.upstream = g.upstream;
                             },
                             [](const Queued&) {},
                             [&](const GrantRefused& r) {
-                              reply.word = GrantWord::refused;
+                              reply.kind = GrantReplyKind::refused;
                               reply.refusal = r.refusal;
                             }},
                  action);
@@ -380,18 +380,18 @@
 }
 
 void GrantBroker::serveHold(const PeerStreamPtr& stream) {
-  auto held = std::make_shared<std::optional<HoldMessage>>();
+  auto held = std::make_shared<std::optional<ReregisterGrantMessage>>();
   auto end = std::make_shared<GrantEnd>(GrantEnd::cancelled);
   stream->onClosed = [this, held, end] {
     if (*held) owners_.release((*held)->shard, (*held)->held.id, *end, clockNow());
   };
   stream->onMessage = [this, held, end](std::string_view bytes) {
     if (*held) {
-      const auto note = unpack<GrantNoteMessage>(bytes);
+      const auto note = unpack<GrantProgressMessage>(bytes);
       if (note && note->ended) *end = note->end;
       return;
     }
-    *held = unpack<HoldMessage>(bytes);
+    *held = unpack<ReregisterGrantMessage>(bytes);
     if (!*held) return;
     (*held)->held.id = owners_.newId();
     owners_.hold((*held)->shard, (*held)->held, clockNow());
--- a/Hallchute/src/Daemon/OnceRecordStore.cpp
+++ b/Hallchute/src/Daemon/OnceRecordStore.cpp
@@ -18,37 +18,37 @@
 OnceEvent OnceRecordStore::write(const std::string& key, const OnceRecord& record,
                                  std::uint64_t ifVersion) {
   context_.metrics.add("hallchute_platform_calls_total", "kind=\"once-write\"");
-  return std::visit(Overloaded{[&](const Done<std::uint64_t>& done) -> OnceEvent {
-                                 context_.health.recordAnswer(clockNow());
-                                 return RecordWritten{done.value};
-                               },
-                               [](const Refused& refused) -> OnceEvent {
-                                 if (refused.reason == PlatformRefusal::conflict)
-                                   return RecordConflict{};
-                                 return RecordWriteRefused{};
-                               },
-                               [](const NotKnown&) -> OnceEvent { return RecordWriteUnknown{}; }},
-                    context_.platform.write(key, onceText(record), ifVersion));
+  return std::visit(
+      Overloaded{[&](const Done<std::uint64_t>& done) -> OnceEvent {
+                   context_.health.recordAnswer(clockNow());
+                   return RecordWritten{done.value};
+                 },
+                 [](const Refused& refused) -> OnceEvent {
+                   if (refused.reason == PlatformRefusal::conflict) return RecordConflict{};
+                   return RecordWriteRefused{};
+                 },
+                 [](const OutcomeUnknown&) -> OnceEvent { return RecordWriteUnknown{}; }},
+      context_.platform.write(key, onceText(record), ifVersion));
 }
 
 OnceEvent OnceRecordStore::read(const std::string& key) {
   context_.metrics.add("hallchute_platform_calls_total", "kind=\"once-read\"");
-  return std::visit(Overloaded{[&](const Done<StoredObject>& done) -> OnceEvent {
-                                 Findings findings;
-                                 RecordFound found;
-                                 found.record = parseOnce(done.value.value, findings);
-                                 found.version = done.value.version;
-                                 found.holderMayBeAlive = context_.mayBeAlive(found.record.holder);
-                                 if (!findings.empty()) found.record.state = OnceState::unknown;
-                                 return found;
-                               },
-                               [](const Refused& refused) -> OnceEvent {
-                                 if (refused.reason == PlatformRefusal::absent)
-                                   return RecordAbsent{};
-                                 return RecordReadFailed{};
-                               },
-                               [](const NotKnown&) -> OnceEvent { return RecordReadFailed{}; }},
-                    context_.platform.read(key));
+  return std::visit(
+      Overloaded{[&](const Done<StoredObject>& done) -> OnceEvent {
+                   Findings findings;
+                   RecordFound found;
+                   found.record = parseOnce(done.value.value, findings);
+                   found.version = done.value.version;
+                   found.holderMayBeAlive = context_.mayBeAlive(found.record.holder);
+                   if (!findings.empty()) found.record.state = OnceState::unknown;
+                   return found;
+                 },
+                 [](const Refused& refused) -> OnceEvent {
+                   if (refused.reason == PlatformRefusal::absent) return RecordAbsent{};
+                   return RecordReadFailed{};
+                 },
+                 [](const OutcomeUnknown&) -> OnceEvent { return RecordReadFailed{}; }},
+      context_.platform.read(key));
 }
 
 void OnceRecordStore::storeLater(const std::string& key, const OnceRecord& record) {
--- a/Hallchute/src/Daemon/PlainHandler.cpp
+++ b/Hallchute/src/Daemon/PlainHandler.cpp
@@ -36,7 +36,7 @@
   std::atomic<int>& count_;
 };
 
-void sendServiceAnswer(Poco::Net::HTTPServerResponse& response, const PlainAnswer& answer) {
+void sendServiceAnswer(Poco::Net::HTTPServerResponse& response, const PlainResponse& answer) {
   response.setStatusAndReason(static_cast<Poco::Net::HTTPResponse::HTTPStatus>(answer.status));
   if (!answer.contentType.empty()) response.setContentType(answer.contentType);
   if (answer.status < 200 || answer.status >= 300) response.set("Hallchute-Outcome", "ran");
@@ -108,7 +108,7 @@
   job.queueLimit = Millis(tree.policy(PolicyKey::queueLimitMs, scope));
   const PlainOutcome outcome = PlainRunner(services_.context, services_.onceRecords, job).run();
   if (const auto* refusal = std::get_if<Refusal>(&outcome)) return *refusal;
-  sendServiceAnswer(response, std::get<PlainAnswer>(outcome));
+  sendServiceAnswer(response, std::get<PlainResponse>(outcome));
   return std::nullopt;
 }
 
--- a/Hallchute/src/Daemon/PlainRunner.cpp
+++ b/Hallchute/src/Daemon/PlainRunner.cpp
@@ -79,7 +79,7 @@
     }
     ScopedGrant& hold = *std::get<std::unique_ptr<ScopedGrant>>(grant);
     const PlainResult result = callUpstream(hold);
-    if (const auto* answer = std::get_if<PlainAnswer>(&result)) {
+    if (const auto* answer = std::get_if<PlainResponse>(&result)) {
       if (!answer->leaving) {
         hold.end(GrantEnd::finished);
         return *answer;
@@ -125,8 +125,8 @@
     } else if (const auto* answer = std::get_if<AnswerWithRecord>(&step)) {
       if (answer->storeLater) onceRecords_.storeLater(key, answer->record);
       if (answer->record.state != OnceState::done) return unknownOutcome(answer->record.body);
-      return PlainAnswer{answer->record.status, answer->record.contentType, answer->record.body,
-                         false};
+      return PlainResponse{answer->record.status, answer->record.contentType, answer->record.body,
+                           false};
     } else {
       const auto& refuse = std::get<RefuseRequest>(step);
       if (refuse.abandonLater) {
@@ -147,7 +147,7 @@
     if (remainingTime() <= Millis(0))
       return DispatchNeverSent{"requestLimitMs passed before it was sent"};
     const PlainResult result = callUpstream(*hold);
-    if (const auto* answer = std::get_if<PlainAnswer>(&result); answer && !answer->leaving) {
+    if (const auto* answer = std::get_if<PlainResponse>(&result); answer && !answer->leaving) {
       hold->end(GrantEnd::finished);
       return DispatchAnswered{answer->status, answer->contentType, answer->body};
     }
--- a/Hallchute/src/Daemon/PlainRunner.h
+++ b/Hallchute/src/Daemon/PlainRunner.h
@@ -37,7 +37,7 @@
 
 /// \brief The service's answer, or the reason why there is none.
 /// \ingroup Daemon
-using PlainOutcome = std::variant<PlainAnswer, Refusal>;
+using PlainOutcome = std::variant<PlainResponse, Refusal>;
 
 /// \brief Runs a call to a plain service: with retries if it is repeatable, else at most once.
 /// \ingroup Daemon
--- a/Hallchute/src/Daemon/SettingsEditor.cpp
+++ b/Hallchute/src/Daemon/SettingsEditor.cpp
@@ -33,7 +33,7 @@
                                                                    std::size_t limit) {
   const auto reply = platform_.list(kChangePrefix, changeKey(after), limit);
   if (const auto* refused = std::get_if<Refused>(&reply)) return *refused;
-  if (const auto* unknown = std::get_if<NotKnown>(&reply)) return *unknown;
+  if (const auto* unknown = std::get_if<OutcomeUnknown>(&reply)) return *unknown;
   std::vector<SettingsChange> changes;
   for (const StoredObject& object : std::get<Done<ObjectList>>(reply).value.objects) {
     Findings findings;
--- a/Hallchute/src/Daemon/StartupFile.cpp
+++ b/Hallchute/src/Daemon/StartupFile.cpp
@@ -36,23 +36,23 @@
     if (!root.has(section)) root.report(section, "is missing");
   }
   root.object("callers", [&](JsonReader& reader) {
-    file.callerListen = addressMember(reader, "listen", true);
+    file.callerListen = readAddress(reader, "listen", true);
     file.maxCallerConnections =
         static_cast<int>(reader.integer("maxConnections", 1, kMaxConnections, 512));
   });
   root.object("operators", [&](JsonReader& reader) {
-    file.operatorListen = addressMember(reader, "listen", true);
+    file.operatorListen = readAddress(reader, "listen", true);
     file.operatorToken = reader.text("token", true);
   });
   root.object("peers", [&](JsonReader& reader) {
-    file.peerListen = addressMember(reader, "listen", true);
-    file.peerAdvertise = addressMember(reader, "advertise", false);
+    file.peerListen = readAddress(reader, "listen", true);
+    file.peerAdvertise = readAddress(reader, "advertise", false);
     if (file.peerAdvertise.empty()) file.peerAdvertise = file.peerListen;
     file.peerSecret = reader.text("secret", true);
     file.seeds = reader.stringList("seeds");
   });
   root.object("platform", [&](JsonReader& reader) {
-    file.platformAddress = addressMember(reader, "address", true);
+    file.platformAddress = readAddress(reader, "address", true);
     file.platformToken = reader.text("token", true);
     file.platformTimeout = Millis(reader.integer("limitMs", kMinTimeoutMs, kMaxTimeoutMs, 1'000));
   });
--- a/Hallchute/src/Http/TcpChannel.cpp
+++ b/Hallchute/src/Http/TcpChannel.cpp
@@ -29,7 +29,7 @@
     : loop_(loop), owner_(owner), socket_(socket), fd_(socket.impl()->sockfd()) {
   socket_.setBlocking(false);
   socket_.setNoDelay(true);
-  watchLiveness(socket_);
+  enableDeadPeerDetection(socket_);
   loop_.watch(fd_, POLLIN, [this](short events) { onEvents(events); });
 }
 
@@ -41,7 +41,7 @@
     socket_.connectNB(Poco::Net::SocketAddress(address));
     fd_ = socket_.impl()->sockfd();
     socket_.setNoDelay(true);
-    leaveLivenessToOwner(socket_);
+    disableDeadPeerDetection(socket_);
     loop_.watch(fd_, POLLOUT, [this](short events) { onEvents(events); });
     connectTimer_ = loop_.after(connectTimeout, [this] {
       connectTimer_ = 0;
@@ -63,7 +63,7 @@
 
 void TcpChannel::updateWatch() {
   const bool writing = connecting_ || !sendBuffer_.empty();
-  loop_.rewatch(fd_, static_cast<short>((connecting_ ? 0 : POLLIN) | (writing ? POLLOUT : 0)));
+  loop_.setEvents(fd_, static_cast<short>((connecting_ ? 0 : POLLIN) | (writing ? POLLOUT : 0)));
 }
 
 void TcpChannel::send(std::string_view bytes) {
--- a/Hallchute/src/Net/AddressMember.h
+++ b/Hallchute/src/Net/AddressMember.h
@@ -12,7 +12,7 @@
 
 /// \brief Reads a JSON member of the form `ip:port`. Reports a finding if it is malformed, or if it
 /// is \p required and missing. \ingroup Net
-std::string addressMember(JsonReader& reader, const std::string& name, bool required);
+std::string readAddress(JsonReader& reader, const std::string& name, bool required);
 
 }  // namespace Hallchute
 
--- a/Hallchute/src/Net/HttpExchange.h
+++ b/Hallchute/src/Net/HttpExchange.h
@@ -24,7 +24,7 @@
 
 /// \brief An HTTP request, sent at most once.
 /// \ingroup Net
-struct HttpCall {
+struct HttpRequest {
   std::string method = "GET";
   std::string target;
   std::string contentType;
@@ -34,7 +34,7 @@
 
 /// \brief A complete response: the body is as long as its Content-Length.
 /// \ingroup Net
-struct HttpAnswer {
+struct HttpResponse {
   int status = 0;
   std::string contentType;
   std::string body;
@@ -55,11 +55,11 @@
 struct HttpMaybeSent {
   std::string detail;
   /// Whether the exchange timed out, rather than the server closed the connection.
-  bool silent = false;
+  bool timedOut = false;
 };
 
 /// \ingroup Net
-using HttpResult = std::variant<HttpAnswer, HttpNeverSent, HttpMaybeSent>;
+using HttpResult = std::variant<HttpResponse, HttpNeverSent, HttpMaybeSent>;
 
 /// \brief Server address, source address and timeouts of an exchange.
 /// \ingroup Net
@@ -86,10 +86,10 @@
   HttpExchange& operator=(const HttpExchange&) = delete;
 
   /// \brief Sends \p call and reads the complete response.
-  HttpResult run(const HttpCall& call);
+  HttpResult run(const HttpRequest& call);
   /// \brief Sends \p call and reads the response header; the body can be read from stream().
   /// \returns a response with an empty body.
-  HttpResult open(const HttpCall& call);
+  HttpResult open(const HttpRequest& call);
   /// \brief The body after open(). Goes into an error state after responseTimeout without data.
   std::istream& stream() { return *body_; }
 
--- a/Hallchute/src/Net/PeerMessages.h
+++ b/Hallchute/src/Net/PeerMessages.h
@@ -27,7 +27,7 @@
 namespace PeerPath {
 inline constexpr std::string_view kProbe = "/probe";
 inline constexpr std::string_view kGrant = "/grant";
-inline constexpr std::string_view kHold = "/hold";
+inline constexpr std::string_view kReregisterGrant = "/hold";
 inline constexpr std::string_view kSettings = "/settings";
 inline constexpr std::string_view kHosts = "/hosts";
 inline constexpr std::string_view kHandOver = "/handover";
@@ -43,25 +43,25 @@
 };
 
 /// \brief State of a grant request as replied by the shard owner. \ingroup Net
-enum class GrantWord : std::uint8_t { queued, granted, refused };
+enum class GrantReplyKind : std::uint8_t { queued, granted, refused };
 
 /// \ingroup Net
 struct GrantReplyMessage {
-  GrantWord word = GrantWord::queued;
+  GrantReplyKind kind = GrantReplyKind::queued;
   UpstreamId upstream;
   Refusal refusal;
 };
 
 /// \brief Tells the shard owner that granted work has produced its first token, or has ended.
 /// \ingroup Net
-struct GrantNoteMessage {
+struct GrantProgressMessage {
   bool ended = false;
   GrantEnd end = GrantEnd::cancelled;
 };
 
 /// \brief Registers a grant made by a previous shard owner with the current one, for as long as the
 /// stream is open. \ingroup Net
-struct HoldMessage {
+struct ReregisterGrantMessage {
   ShardKey shard;
   ExistingGrant held;
 };
@@ -134,12 +134,12 @@
   return std::tie(m.shard, m.wanted, m.remaining);
 }
 inline auto wireFields(GrantReplyMessage& m) {
-  return std::tie(m.word, m.upstream, m.refusal);
+  return std::tie(m.kind, m.upstream, m.refusal);
 }
-inline auto wireFields(GrantNoteMessage& m) {
+inline auto wireFields(GrantProgressMessage& m) {
   return std::tie(m.ended, m.end);
 }
-inline auto wireFields(HoldMessage& m) {
+inline auto wireFields(ReregisterGrantMessage& m) {
   return std::tie(m.shard, m.held);
 }
 inline auto wireFields(MemberStatus& m) {
--- a/Hallchute/src/Net/PeerSession.h
+++ b/Hallchute/src/Net/PeerSession.h
@@ -22,7 +22,7 @@
 /// above kMaxMessageBytes or with a wrong secret are reset. Loop thread only.
 class PeerSession {
  public:
-  static constexpr std::size_t kMaxMessage = 8U << 20U;
+  static constexpr std::size_t kMaxMessageBytes = 8U << 20U;
 
   /// \brief Callbacks for the events on the session's streams.
   struct Events {
--- a/Hallchute/src/Net/SocketLiveness.h
+++ b/Hallchute/src/Net/SocketLiveness.h
@@ -15,13 +15,13 @@
 ///
 /// By default a connection hangs for minutes after a network partition. Idle connections are probed
 /// after 1 s, and sent bytes that are not acknowledged within 2.5 s close the connection.
-void watchLiveness(Poco::Net::Socket& socket);
+void enableDeadPeerDetection(Poco::Net::Socket& socket);
 
 /// \brief Leaves it to the owner to reset the connection if the peer is unreachable. \ingroup Net
 ///
 /// Once the kernel has closed a connection by itself, the owner can't send a reset any more, and
 /// bytes delayed by a network partition may still reach the peer when the partition heals.
-void leaveLivenessToOwner(Poco::Net::Socket& socket);
+void disableDeadPeerDetection(Poco::Net::Socket& socket);
 
 }  // namespace Hallchute
 
--- a/Hallchute/src/Node/NodeStartup.cpp
+++ b/Hallchute/src/Node/NodeStartup.cpp
@@ -51,14 +51,14 @@
 }
 
 void readListen(JsonReader& reader, NodeStartup& startup) {
-  startup.callerListen = addressMember(reader, "callers", true);
-  startup.readinessListen = addressMember(reader, "readiness", true);
-  startup.peerListen = addressMember(reader, "peers", true);
-  startup.metricsListen = addressMember(reader, "metrics", false);
+  startup.callerListen = readAddress(reader, "callers", true);
+  startup.readinessListen = readAddress(reader, "readiness", true);
+  startup.peerListen = readAddress(reader, "peers", true);
+  startup.metricsListen = readAddress(reader, "metrics", false);
 }
 
 void readDuties(JsonReader& reader, NodeStartup& startup) {
-  startup.dutyAddress = addressMember(reader, "address", false);
+  startup.dutyAddress = readAddress(reader, "address", false);
   startup.reportsUsage = reader.boolean("usage", false);
   startup.ordersReplicas = reader.boolean("replicas", false);
 }
@@ -86,7 +86,7 @@
   }
   root.object("listen", [&](JsonReader& reader) { readListen(reader, startup); });
   root.object("store", [&](JsonReader& reader) {
-    startup.storeAddress = addressMember(reader, "address", true);
+    startup.storeAddress = readAddress(reader, "address", true);
   });
   root.object("duties", [&](JsonReader& reader) { readDuties(reader, startup); });
   root.object("bounds", [&](JsonReader& reader) { readBounds(reader, startup.bounds); });
--- a/Hallchute/src/Platform/PlatformHttp.h
+++ b/Hallchute/src/Platform/PlatformHttp.h
@@ -10,7 +10,7 @@
 
 namespace Hallchute {
 
-struct HttpCall;
+struct HttpRequest;
 struct HttpEndpoint;
 
 /// \brief Client of the platform's HTTP API, which docs/API.md describes.
@@ -32,7 +32,7 @@
   PlatformReply<HostList> hosts() override;
 
  private:
-  HttpCall makeCall(std::string method, std::string target) const;
+  HttpRequest makeCall(std::string method, std::string target) const;
   HttpEndpoint endpoint(Millis extraWait) const;
 
   std::string address_;
--- a/Hallchute/src/Ports/EnginePort.h
+++ b/Hallchute/src/Ports/EnginePort.h
@@ -54,18 +54,18 @@
 
 /// \brief Number of context tokens that the engine had to compute, not in its cache, for this
 /// attempt. \ingroup Ports
-struct ComputedWord {
+struct ComputedTokens {
   std::size_t tokens = 0;
 };
 
 /// \brief Announces that the engine will leave; the stream continues until then.
 /// \ingroup Ports
-struct LeavingWord {
+struct LeaveNotice {
   Millis leavesIn{0};
 };
 
 /// \ingroup Ports
-using EngineEvent = std::variant<AnswerChunk, ComputedWord, LeavingWord>;
+using EngineEvent = std::variant<AnswerChunk, ComputedTokens, LeaveNotice>;
 
 /// \brief A model engine.
 /// \ingroup Ports
@@ -81,7 +81,7 @@
 
   /// \brief Streams an answer; blocks until it ends.
   /// \param stallTimeout longest time without data.
-  virtual StreamResult generate(const GenerateRequest& request, Millis stallLimit,
+  virtual StreamResult generate(const GenerateRequest& request, Millis stallTimeout,
                                 const Receiver& receiver) = 0;
   /// \brief Stops a request; best effort.
   virtual void cancel(const std::string& request, std::uint64_t epoch) = 0;
--- a/Hallchute/src/Ports/PlatformReply.h
+++ b/Hallchute/src/Ports/PlatformReply.h
@@ -38,16 +38,16 @@
 
 /// \brief The reply was lost; the call may have taken effect.
 /// \ingroup Ports
-struct NotKnown {
+struct OutcomeUnknown {
   std::string detail;
   /// Whether the call timed out, rather than the platform closed the connection.
-  bool silent = false;
+  bool timedOut = false;
 };
 
 /// \brief The outcome of a call to the platform.
 /// \ingroup Ports
 template <typename T>
-using PlatformReply = std::variant<Done<T>, Refused, NotKnown>;
+using PlatformReply = std::variant<Done<T>, Refused, OutcomeUnknown>;
 
 }  // namespace Hallchute
 
--- a/Hallchute/src/Ports/TrafficCodec.h
+++ b/Hallchute/src/Ports/TrafficCodec.h
@@ -36,7 +36,7 @@
 };
 
 /// \brief Metadata sent to an upstream along with the request. \ingroup Ports
-struct DispatchTerms {
+struct DispatchMetadata {
   Millis remaining{0};
   UpstreamId upstream;
   /// Empty on a route that needs no API key.
@@ -50,14 +50,14 @@
 };
 
 /// \brief The metadata in the head of an upstream's response. \ingroup Ports
-struct UpstreamAnswer {
+struct UpstreamResponse {
   RequestId id;
   /// The upstream guarantees that it did not run the request.
   bool notExecuted = false;
   /// The address now belongs to another upstream than the expected one.
-  bool otherUpstream = false;
+  bool misdirected = false;
   /// The response has a signature field.
-  bool authentic = false;
+  bool hasSignature = false;
 };
 
 /// \brief Reads and writes the header fields exchanged with callers and upstreams. \ingroup Ports
@@ -73,8 +73,8 @@
   virtual ClientRequest readRequest(const HttpHead& head) const = 0;
   /// \brief The header fields for an upstream: the caller's, except those that are overridden or
   /// removed.
-  virtual HttpFields dispatchFields(const HttpHead& head, const DispatchTerms& terms) const = 0;
-  virtual UpstreamAnswer readAnswer(const HttpHead& head) const = 0;
+  virtual HttpFields dispatchFields(const HttpHead& head, const DispatchMetadata& terms) const = 0;
+  virtual UpstreamResponse readAnswer(const HttpHead& head) const = 0;
 };
 
 }  // namespace Hallchute
--- a/Hallchute/src/Traffic/TrafficSession.cpp
+++ b/Hallchute/src/Traffic/TrafficSession.cpp
@@ -158,7 +158,7 @@
   channel_ = engine_.pool().take(id, upstream.record.address, care,
                                  engine_.connectionShare(service_), now);
   if (channel_ == nullptr) return false;
-  DispatchTerms terms;
+  DispatchMetadata terms;
   terms.remaining = remaining();
   terms.upstream = id;
   if (admission_.organisation != nullptr) terms.organisation = admission_.organisation->name;
@@ -210,7 +210,7 @@
 
 bool TrafficSession::upstreamHead(const HttpHead& head) {
   answer_ = engine_.codec().readAnswer(head);
-  if (!answer_.notExecuted && !answer_.otherUpstream && answer_.id != admission_.request.id) {
+  if (!answer_.notExecuted && !answer_.misdirected && answer_.id != admission_.request.id) {
     LogLine(LogLevel::warning, "upstream.foreignAnswer")
         .with("request", selection_.requestId)
         .with("upstream", upstream_.str())
@@ -221,7 +221,7 @@
   answerBody_.clear();
   const bool eventStream =
       absl::StartsWith(std::string(head.fields.get("Content-Type")), "text/event-stream");
-  answerIsStream_ = isSuccess(head.status) && answer_.authentic &&
+  answerIsStream_ = isSuccess(head.status) && answer_.hasSignature &&
                     admission_.route->kind == WorkKind::stream && eventStream;
   return true;
 }
@@ -267,13 +267,13 @@
 }
 
 void TrafficSession::upstreamDone() {
-  if (answer_.notExecuted || answer_.otherUpstream) {
+  if (answer_.notExecuted || answer_.misdirected) {
     LogLine(LogLevel::info, "upstream.rejected")
         .with("request", selection_.requestId)
         .with("upstream", upstream_.str())
         .with("status", answerHead_.status);
-    if (answer_.otherUpstream) engine_.upstreamTable().noteAddressReused(upstream_, clockNow());
-    endDispatch(DispatchResult::rejected, !answer_.otherUpstream);
+    if (answer_.misdirected) engine_.upstreamTable().noteAddressReused(upstream_, clockNow());
+    endDispatch(DispatchResult::rejected, !answer_.misdirected);
     handleEvent(RelayEvents::NotExecuted{});
     return;
   }
@@ -293,7 +293,7 @@
   }
   recordRunStart();
   // A started stream can only be continued by another stream.
-  if (!answer_.authentic || relay_.started()) {
+  if (!answer_.hasSignature || relay_.started()) {
     upstreamFailed(true);
     return;
   }
--- a/bench/slopes/main.cpp
+++ b/bench/slopes/main.cpp
@@ -162,9 +162,9 @@
   for (std::size_t i = 0; i < blocks; ++i) {
     request.wanted.prefixHashes.push_back(stableHash(std::to_string(i)));
   }
-  const GrantReplyMessage reply{GrantWord::granted, UpstreamId("host-1234-incarnation-1"), {}};
+  const GrantReplyMessage reply{GrantReplyKind::granted, UpstreamId("host-1234-incarnation-1"), {}};
   const std::size_t bytes =
-      pack(request).size() + pack(reply).size() + 2 * pack(GrantNoteMessage{}).size();
+      pack(request).size() + pack(reply).size() + 2 * pack(GrantProgressMessage{}).size();
   line("grant", std::to_string(blocks) + " blocks", "bytes per grant", static_cast<double>(bytes));
 }
 
