--- a/app/main.cpp
+++ b/app/main.cpp
@@ -14,7 +14,7 @@
 
 int main(int argc, char** argv) {
   Hallchute::registerCommand(
-      {"gateway", "serve the users' platform: --config=FILE", Hallchute::gatewayCommand});
+      {"gateway", "run a gateway for the platform: --config=FILE", Hallchute::gatewayCommand});
   absl::SetProgramUsageMessage(std::string(Hallchute::usageText()));
   if (argc == 2 && std::string_view(argv[1]) == "--help") {
     std::cout << Hallchute::usageText();
@@ -23,7 +23,7 @@
   absl::FlagsUsageConfig config;
   config.version_string = [] { return std::string("hallchute 0.1.0\n"); };
   absl::SetFlagsUsageConfig(config);
-  const std::vector<char*> rest = absl::ParseCommandLine(argc, argv);
-  const std::vector<std::string_view> words(rest.begin() + 1, rest.end());
-  return static_cast<int>(Hallchute::runCommand(words));
+  const std::vector<char*> positional = absl::ParseCommandLine(argc, argv);
+  const std::vector<std::string_view> arguments(positional.begin() + 1, positional.end());
+  return static_cast<int>(Hallchute::runCommand(arguments));
 }
