--- a/Hallchute/src/Core/Finding.h
+++ b/Hallchute/src/Core/Finding.h
@@ -9,7 +9,7 @@
 
 namespace Hallchute {
 
-/// \brief One fault of an input, with the JSON pointer of its place.
+/// \brief One error in an input, with the JSON pointer to its location.
 /// \ingroup Core
 struct Finding {
   std::string path;
@@ -17,11 +17,11 @@
   bool operator==(const Finding&) const = default;
 };
 
-/// \brief All faults of one input, reported together.
+/// \brief All errors in one input, reported together.
 /// \ingroup Core
 using Findings = std::vector<Finding>;
 
-/// \brief One line per finding: `path: message`.
+/// \brief Formats one line per finding: `path: message`.
 /// \ingroup Core
 std::string describe(const Findings& findings);
 
--- a/Hallchute/src/Core/Id.h
+++ b/Hallchute/src/Core/Id.h
@@ -10,9 +10,9 @@
 
 namespace Hallchute {
 
-/// \brief A name that can't be confused with a name of another kind.
+/// \brief A strongly typed string identifier: ids of different kinds don't convert to each other.
 /// \ingroup Core
-/// \tparam Tag an incomplete type that tells the kinds apart.
+/// \tparam Tag an incomplete type that distinguishes the kinds.
 template <typename Tag>
 class Id {
  public:
--- a/Hallchute/src/Core/Overloaded.h
+++ b/Hallchute/src/Core/Overloaded.h
@@ -6,7 +6,7 @@
 
 namespace Hallchute {
 
-/// \brief Makes one visitor of several lambdas, for `std::visit`.
+/// \brief Combines several lambdas into one visitor for `std::visit`.
 /// \ingroup Core
 template <typename... Ts>
 struct Overloaded : Ts... {
--- a/Hallchute/src/Core/Refusal.cpp
+++ b/Hallchute/src/Core/Refusal.cpp
@@ -11,7 +11,7 @@
 struct ReasonRow {
   RefusalReason reason;
   int status;
-  std::string_view word;
+  std::string_view name;
 };
 
 constexpr std::array kReasons{
@@ -32,7 +32,7 @@
     ReasonRow{RefusalReason::outcomeUnknown, 502, "outcome-unknown"},
 };
 
-const ReasonRow& rowOf(RefusalReason reason) {
+const ReasonRow& findRow(RefusalReason reason) {
   for (const ReasonRow& row : kReasons) {
     if (row.reason == reason) return row;
   }
@@ -42,11 +42,11 @@
 }  // namespace
 
 int httpStatus(RefusalReason reason) {
-  return rowOf(reason).status;
+  return findRow(reason).status;
 }
 
 std::string_view reasonWord(RefusalReason reason) {
-  return rowOf(reason).word;
+  return findRow(reason).name;
 }
 
 }  // namespace Hallchute
--- a/Hallchute/src/Core/Refusal.h
+++ b/Hallchute/src/Core/Refusal.h
@@ -12,7 +12,7 @@
 
 namespace Hallchute {
 
-/// \brief Why a request gets no answer of its own.
+/// \brief Why a request is refused or failed, as reported to the caller.
 /// \ingroup Core
 enum class RefusalReason {
   badRequest,
@@ -32,10 +32,10 @@
   outcomeUnknown,
 };
 
-/// \brief A final answer that is not a success.
+/// \brief A final error answer to a request.
 /// \ingroup Core
 ///
-/// Units: `retryAfter` in milliseconds, absent where waiting does not help.
+/// `retryAfter` is in milliseconds, and absent where a later retry would not help.
 struct Refusal {
   RefusalReason reason = RefusalReason::badRequest;
   std::string detail;
@@ -43,11 +43,11 @@
   std::optional<Millis> retryAfter;
 };
 
-/// \brief The HTTP status for \p reason.
+/// \brief The HTTP status code for \p reason.
 /// \ingroup Core
 int httpStatus(RefusalReason reason);
 
-/// \brief The stable machine-readable name of \p reason, used in problem documents and metrics.
+/// \brief The stable machine-readable name of \p reason, used in problem details and metrics.
 /// \ingroup Core
 std::string_view reasonWord(RefusalReason reason);
 
--- a/Hallchute/src/Core/RunOutcome.h
+++ b/Hallchute/src/Core/RunOutcome.h
@@ -8,11 +8,11 @@
 
 namespace Hallchute {
 
-/// \brief What a caller may conclude about the work behind an answer that is not a success.
+/// \brief Whether the work of a request was executed, as reported with an error answer.
 /// \ingroup Core
 enum class RunOutcome { notRun, unknown, ran };
 
-/// \brief The word for \p outcome in the `Hallchute-Outcome` header.
+/// \brief The value of the `Hallchute-Outcome` header for \p outcome.
 /// \ingroup Core
 constexpr std::string_view outcomeWord(RunOutcome outcome) {
   switch (outcome) {
--- a/Hallchute/src/Core/SecretHash.cpp
+++ b/Hallchute/src/Core/SecretHash.cpp
@@ -17,9 +17,9 @@
   if (left.size() != right.size()) return false;
   unsigned difference = 0;
   for (std::size_t i = 0; i < left.size(); ++i) {
-    const unsigned mixed =
+    const unsigned differingBits =
         static_cast<unsigned char>(left[i]) ^ static_cast<unsigned char>(right[i]);
-    difference |= mixed;
+    difference |= differingBits;
   }
   return difference == 0;
 }
--- a/Hallchute/src/Core/SecretHash.h
+++ b/Hallchute/src/Core/SecretHash.h
@@ -9,12 +9,12 @@
 
 namespace Hallchute {
 
-/// \brief The lower-case hexadecimal SHA-256 of \p secret.
+/// \brief The SHA-256 of \p secret in lower-case hexadecimal.
 /// \ingroup Core
 std::string secretHash(std::string_view secret);
 
-/// \brief Compares two texts in a time that depends on their lengths only.
-/// \ingroup Core
+/// \brief Compares two strings in a time that depends only on their lengths, against timing
+/// attacks. \ingroup Core
 bool equalInConstantTime(std::string_view left, std::string_view right);
 
 }  // namespace Hallchute
--- a/Hallchute/src/Core/StableHash.cpp
+++ b/Hallchute/src/Core/StableHash.cpp
@@ -12,7 +12,7 @@
 }
 
 double hashFraction(std::string_view text, std::uint64_t seed) {
-  constexpr double kRange = 18446744073709551616.0;  // 2 to the 64th
+  constexpr double kRange = 18446744073709551616.0;  // 2^64
   return static_cast<double>(stableHash(text, seed)) / kRange;
 }
 
--- a/Hallchute/src/Core/StableHash.h
+++ b/Hallchute/src/Core/StableHash.h
@@ -9,12 +9,12 @@
 
 namespace Hallchute {
 
-/// \brief A 64-bit hash that is the same in every process and release.
+/// \brief A 64-bit hash that is identical in every process and release.
 /// \ingroup Core
-/// \param seed chains hashes: pass the hash so far.
+/// \param seed to hash several strings in sequence, pass the previous hash.
 std::uint64_t stableHash(std::string_view text, std::uint64_t seed = 0);
 
-/// \brief The hash as a number from 0 to 1, evenly spread.
+/// \brief The hash mapped uniformly to the range from 0 to 1.
 /// \ingroup Core
 double hashFraction(std::string_view text, std::uint64_t seed = 0);
 
--- a/Hallchute/src/Core/Time.h
+++ b/Hallchute/src/Core/Time.h
@@ -8,11 +8,11 @@
 
 namespace Hallchute {
 
-/// \brief A point on the monotonic clock. Decision code is given it and never reads it.
-/// \ingroup Core
+/// \brief A time on the monotonic clock. Decision code takes the current time as a parameter and
+/// never reads the clock, so that tests control it. \ingroup Core
 using Instant = std::chrono::steady_clock::time_point;
 
-/// \brief The resolution of every limit and delay in hallchute.
+/// \brief The unit of all limits and delays in hallchute.
 /// \ingroup Core
 using Millis = std::chrono::milliseconds;
 
--- a/Hallchute/src/Observability/DurationHistogram.cpp
+++ b/Hallchute/src/Observability/DurationHistogram.cpp
@@ -8,14 +8,15 @@
 namespace Hallchute {
 namespace {
 
-constexpr unsigned kBuckets = 60;
-constexpr double kLeast = 0.1;
-constexpr double kMost = 100'000;
+constexpr unsigned kBucketCount = 60;
+constexpr double kLowerBoundMs = 0.1;
+constexpr double kUpperBoundMs = 100'000;
 
 }  // namespace
 
 DurationHistogram::DurationHistogram()
-    : histogram_(boost::histogram::make_histogram(Axis(kBuckets, kLeast, kMost))) {}
+    : histogram_(
+          boost::histogram::make_histogram(Axis(kBucketCount, kLowerBoundMs, kUpperBoundMs))) {}
 
 void DurationHistogram::record(std::chrono::duration<double, std::milli> time) {
   const std::lock_guard lock(mutex_);
@@ -32,33 +33,34 @@
 double DurationHistogram::quantile(double q) const {
   const std::lock_guard lock(mutex_);
   if (count_ == 0) return 0;
-  const double wanted = q * static_cast<double>(count_);
-  double seen = histogram_.at(-1);
-  if (seen >= wanted) return kLeast;
-  for (int i = 0; i < static_cast<int>(kBuckets); ++i) {
-    seen += histogram_.at(i);
-    if (seen >= wanted) return histogram_.axis().bin(i).upper();
+  const double targetRank = q * static_cast<double>(count_);
+  double cumulative = histogram_.at(-1);
+  if (cumulative >= targetRank) return kLowerBoundMs;
+  for (int i = 0; i < static_cast<int>(kBucketCount); ++i) {
+    cumulative += histogram_.at(i);
+    if (cumulative >= targetRank) return histogram_.axis().bin(i).upper();
   }
-  return kMost;
+  return kUpperBoundMs;
 }
 
 void DurationHistogram::write(std::string_view name, std::string_view labels,
                               std::string& page) const {
   const std::lock_guard lock(mutex_);
-  const std::string base(name);
-  const std::string own(labels);
-  const std::string prefix = absl::StrCat(base, "_bucket{", own, own.empty() ? "" : ",", "le=\"");
-  double seen = histogram_.at(-1);
-  for (int i = 0; i < static_cast<int>(kBuckets); ++i) {
-    const double here = histogram_.at(i);
-    seen += here;
-    if (here == 0) continue;
+  const std::string metricName(name);
+  const std::string labelList(labels);
+  const std::string prefix =
+      absl::StrCat(metricName, "_bucket{", labelList, labelList.empty() ? "" : ",", "le=\"");
+  double cumulative = histogram_.at(-1);
+  for (int i = 0; i < static_cast<int>(kBucketCount); ++i) {
+    const double binCount = histogram_.at(i);
+    cumulative += binCount;
+    if (binCount == 0) continue;
     absl::StrAppend(&page, prefix, histogram_.axis().bin(i).upper(), "\"} ",
-                    static_cast<std::size_t>(seen), "\n");
+                    static_cast<std::size_t>(cumulative), "\n");
   }
   absl::StrAppend(&page, prefix, "+Inf\"} ", count_, "\n");
-  absl::StrAppend(&page, base, "_sum{", own, "} ", sum_, "\n");
-  absl::StrAppend(&page, base, "_count{", own, "} ", count_, "\n");
+  absl::StrAppend(&page, metricName, "_sum{", labelList, "} ", sum_, "\n");
+  absl::StrAppend(&page, metricName, "_count{", labelList, "} ", count_, "\n");
 }
 
 }  // namespace Hallchute
--- a/Hallchute/src/Observability/DurationHistogram.h
+++ b/Hallchute/src/Observability/DurationHistogram.h
@@ -15,19 +15,19 @@
 
 namespace Hallchute {
 
-/// \brief A distribution of durations: logarithmic buckets from 0.1 ms to 100 s, 10 a decade.
+/// \brief A histogram of durations with logarithmic buckets from 0.1 ms to 100 s, 10 per decade.
 /// \ingroup Observability
 ///
-/// Any thread. Units: milliseconds. Quantiles are exact to the width of a bucket (26%).
+/// Thread-safe. Units: milliseconds. Quantiles are accurate to the width of a bucket (26%).
 class DurationHistogram {
  public:
   DurationHistogram();
   void record(std::chrono::duration<double, std::milli> time);
   std::size_t count() const;
-  /// \brief The upper edge of the bucket in which the \p q quantile lies; 0 if empty.
+  /// \brief The upper bound of the bucket that contains the \p q quantile; 0 if empty.
   double quantile(double q) const;
-  /// \brief Appends the lines of a Prometheus histogram.
-  /// \param labels `name="value"` pairs, may be empty.
+  /// \brief Appends the histogram to \p page in the Prometheus text format.
+  /// \param labels comma-separated `name="value"` pairs; may be empty.
   void write(std::string_view name, std::string_view labels, std::string& page) const;
 
  private:
--- a/Hallchute/src/Observability/Log.cpp
+++ b/Hallchute/src/Observability/Log.cpp
@@ -15,27 +15,28 @@
 namespace Hallchute {
 namespace {
 
-/// Lines that wait while standard output is not read; further ones are dropped and counted.
-constexpr int kLinesWaiting = 1'024;
+/// Capacity of the queue for lines while nobody reads standard output; when it is full, further
+/// lines are dropped and counted.
+constexpr int kMaxQueuedLines = 1'024;
 
 }  // namespace
 
-LogLevel logLevelNamed(std::string_view word) {
-  if (word == "debug") return LogLevel::debug;
-  if (word == "warning") return LogLevel::warning;
-  return word == "error" ? LogLevel::error : LogLevel::info;
+LogLevel logLevelNamed(std::string_view name) {
+  if (name == "debug") return LogLevel::debug;
+  if (name == "warning") return LogLevel::warning;
+  return name == "error" ? LogLevel::error : LogLevel::info;
 }
 
-void startLogging(LogLevel least, std::string_view daemon, std::string_view domain) {
-  internal::setLogOrigin(least, daemon, domain);
+void startLogging(LogLevel minLevel, std::string_view daemon, std::string_view domain) {
+  internal::configureLogLines(minLevel, daemon, domain);
   const auto layout = std::make_shared<log4cxx::PatternLayout>("%m%n");
   const auto console = std::make_shared<log4cxx::ConsoleAppender>(layout, "System.out");
   const auto async = std::make_shared<log4cxx::AsyncAppender>();
-  async->setBufferSize(kLinesWaiting);
+  async->setBufferSize(kMaxQueuedLines);
   async->setBlocking(false);
   async->addAppender(console);
   log4cxx::BasicConfigurator::configure(async);
-  // What passes is decided in LogLine, before a line is made.
+  // LogLine filters by level, before it formats a line.
   log4cxx::Logger::getRootLogger()->setLevel(log4cxx::Level::getDebug());
 }
 
--- a/Hallchute/src/Observability/Log.h
+++ b/Hallchute/src/Observability/Log.h
@@ -8,30 +8,30 @@
 
 namespace Hallchute {
 
-/// \brief How grave a log line is.
+/// \brief The severity of a log line.
 /// \ingroup Observability
 enum class LogLevel { debug, info, warning, error };
 
-/// \brief The level that a start-up file names; `info` if it is none.
+/// \brief Parses the log level in a start-up file; `info` if \p name is not a level.
 /// \ingroup Observability
-LogLevel logLevelNamed(std::string_view word);
+LogLevel logLevelNamed(std::string_view name);
 
-/// \brief Sends logs to standard output, a JSON object a line.
+/// \brief Starts writing logs to standard output, one JSON object per line.
 /// \ingroup Observability
 ///
-/// A thread of its own writes them: nobody else ever waits for a reader. Lines that find no room
-/// are dropped.
-/// \param least lines below it are left out.
-/// \param daemon, domain members of every line.
-void startLogging(LogLevel least, std::string_view daemon, std::string_view domain);
+/// A background thread writes the lines, so that a slow reader never blocks the calling threads.
+/// Lines are dropped while the queue is full.
+/// \param minLevel lines below this level are discarded.
+/// \param daemon, domain added to every line.
+void startLogging(LogLevel minLevel, std::string_view daemon, std::string_view domain);
 
-/// \brief Writes one line. Context comes from the LogContext objects of the calling thread.
+/// \brief Writes \p message as one line, with the calling thread's LogContext members.
 /// \ingroup Observability
 void logLine(LogLevel level, std::string_view message);
 
 namespace internal {
-/// \brief What LogLine puts into every line, and the least level it writes.
-void setLogOrigin(LogLevel least, std::string_view daemon, std::string_view domain);
+/// \brief Sets the members that LogLine adds to every line, and the lowest level that it writes.
+void configureLogLines(LogLevel minLevel, std::string_view daemon, std::string_view domain);
 }  // namespace internal
 
 }  // namespace Hallchute
--- a/Hallchute/src/Observability/LogContext.h
+++ b/Hallchute/src/Observability/LogContext.h
@@ -10,7 +10,7 @@
 
 namespace Hallchute {
 
-/// \brief Adds a member to every log line of this thread while it lives.
+/// \brief Adds a member to every log line of the constructing thread until it is destroyed.
 /// \ingroup Observability
 class LogContext {
  public:
@@ -23,13 +23,13 @@
   LogContext(const LogContext&) = delete;
   LogContext& operator=(const LogContext&) = delete;
 
-  /// \brief The members of this thread's lines, outermost first.
+  /// \brief The members added to the calling thread's lines, outermost first.
   static const Fields& current() { return fields(); }
 
  private:
   static Fields& fields() {
-    static thread_local Fields theFields;
-    return theFields;
+    static thread_local Fields threadFields;
+    return threadFields;
   }
 };
 
--- a/Hallchute/src/Observability/LogLine.cpp
+++ b/Hallchute/src/Observability/LogLine.cpp
@@ -19,55 +19,56 @@
 namespace Hallchute {
 namespace {
 
-/// Lines a second that a daemon writes at most, and how many may come at once: a few for each
-/// request at the rates a small host serves. Warnings and errors count but always pass.
-constexpr double kLinesPerSecond = 300;
-constexpr double kLinesAtOnce = 600;
+/// Sustained rate and burst of log lines per daemon: a few lines per request at the request rates
+/// of a small host. Warnings and errors count towards the limit but are always written.
+constexpr double kMaxLinesPerSecond = 300;
+constexpr double kMaxBurstLines = 600;
 
-/// Bounds the volume; counts what it leaves out.
-class LineBudget {
+/// Limits the log volume with a token bucket; counts the lines that it drops.
+class LineRateLimiter {
  public:
-  /// \returns whether a line may be written; \p dropped gets the number left out before it.
-  bool take(bool important, std::uint64_t& dropped) {
+  /// \returns whether a line may be written. If so, \p dropped is set to the number of lines
+  /// dropped since the previous one.
+  bool allow(bool alwaysWrite, std::uint64_t& dropped) {
     const std::lock_guard lock(mutex_);
     const Instant now = clockNow();
-    const std::chrono::duration<double> passed = now - last_;
-    last_ = now;
-    level_ = std::min(kLinesAtOnce, level_ + passed.count() * kLinesPerSecond);
-    if (level_ < 1 && !important) {
+    const std::chrono::duration<double> elapsed = now - lastRefill_;
+    lastRefill_ = now;
+    tokens_ = std::min(kMaxBurstLines, tokens_ + elapsed.count() * kMaxLinesPerSecond);
+    if (tokens_ < 1 && !alwaysWrite) {
       ++dropped_;
       return false;
     }
-    level_ = std::max(0.0, level_ - 1);
+    tokens_ = std::max(0.0, tokens_ - 1);
     dropped = std::exchange(dropped_, 0);
     return true;
   }
 
  private:
   std::mutex mutex_;
-  double level_ = kLinesAtOnce;
-  Instant last_{};
+  double tokens_ = kMaxBurstLines;
+  Instant lastRefill_{};
   std::uint64_t dropped_ = 0;
 };
 
-/// Written once, before any other thread runs.
-struct Origin {
-  LogLevel least = LogLevel::info;
+/// Set once, before any other thread starts.
+struct LogConfiguration {
+  LogLevel minLevel = LogLevel::info;
   bool started = false;
   std::string fields;
 };
 
-Origin& origin() {
-  static Origin theOrigin;
-  return theOrigin;
+LogConfiguration& logConfiguration() {
+  static LogConfiguration theConfiguration;
+  return theConfiguration;
 }
 
-LineBudget& budget() {
-  static LineBudget theBudget;
-  return theBudget;
+LineRateLimiter& rateLimiter() {
+  static LineRateLimiter theLimiter;
+  return theLimiter;
 }
 
-std::string_view levelWord(LogLevel level) {
+std::string_view levelName(LogLevel level) {
   switch (level) {
     case LogLevel::debug:
       return "debug";
@@ -81,7 +82,7 @@
   return "error";
 }
 
-log4cxx::LevelPtr libraryLevel(LogLevel level) {
+log4cxx::LevelPtr log4cxxLevel(LogLevel level) {
   switch (level) {
     case LogLevel::debug:
       return log4cxx::Level::getDebug();
@@ -102,7 +103,7 @@
   out += Poco::toJSON(std::string(value));
 }
 
-void appendNumber(std::string& out, std::string_view key, const std::string& value) {
+void appendRaw(std::string& out, std::string_view key, const std::string& value) {
   out += ",\"";
   out += key;
   out += "\":";
@@ -113,36 +114,36 @@
 
 namespace internal {
 
-void setLogOrigin(LogLevel least, std::string_view daemon, std::string_view domain) {
-  Origin& own = origin();
-  own.least = least;
-  own.started = true;
-  own.fields.clear();
-  appendText(own.fields, "daemon", daemon);
-  appendText(own.fields, "failureDomain", domain);
+void configureLogLines(LogLevel minLevel, std::string_view daemon, std::string_view domain) {
+  LogConfiguration& configuration = logConfiguration();
+  configuration.minLevel = minLevel;
+  configuration.started = true;
+  configuration.fields.clear();
+  appendText(configuration.fields, "daemon", daemon);
+  appendText(configuration.fields, "failureDomain", domain);
 }
 
 }  // namespace internal
 
 LogLine::LogLine(LogLevel level, std::string_view event) : level_(level) {
-  const Origin& own = origin();
+  const LogConfiguration& configuration = logConfiguration();
   std::uint64_t dropped = 0;
-  enabled_ =
-      own.started && level >= own.least && budget().take(level >= LogLevel::warning, dropped);
+  enabled_ = configuration.started && level >= configuration.minLevel &&
+             rateLimiter().allow(level >= LogLevel::warning, dropped);
   if (!enabled_) return;
   text_ = "{\"time\":\"" +
           Poco::DateTimeFormatter::format(Poco::Timestamp(), "%Y-%m-%dT%H:%M:%S.%iZ") +
-          "\",\"level\":\"" + std::string(levelWord(level)) + "\"";
+          "\",\"level\":\"" + std::string(levelName(level)) + "\"";
   appendText(text_, "event", event);
-  text_ += own.fields;
+  text_ += configuration.fields;
   for (const auto& [key, value] : LogContext::current()) appendText(text_, key, value);
-  if (dropped > 0) appendNumber(text_, "linesDroppedBefore", std::to_string(dropped));
+  if (dropped > 0) appendRaw(text_, "linesDroppedBefore", std::to_string(dropped));
 }
 
 LogLine::~LogLine() {
   if (!enabled_) return;
   text_ += '}';
-  log4cxx::Logger::getRootLogger()->forcedLog(libraryLevel(level_), text_);
+  log4cxx::Logger::getRootLogger()->forcedLog(log4cxxLevel(level_), text_);
 }
 
 LogLine& LogLine::with(std::string_view key, std::string_view value) {
@@ -155,12 +156,12 @@
 }
 
 LogLine& LogLine::with(std::string_view key, std::int64_t value) {
-  if (enabled_) appendNumber(text_, key, std::to_string(value));
+  if (enabled_) appendRaw(text_, key, std::to_string(value));
   return *this;
 }
 
 LogLine& LogLine::with(std::string_view key, std::uint64_t value) {
-  if (enabled_) appendNumber(text_, key, std::to_string(value));
+  if (enabled_) appendRaw(text_, key, std::to_string(value));
   return *this;
 }
 
@@ -169,7 +170,7 @@
 }
 
 LogLine& LogLine::with(std::string_view key, bool value) {
-  if (enabled_) appendNumber(text_, key, value ? "true" : "false");
+  if (enabled_) appendRaw(text_, key, value ? "true" : "false");
   return *this;
 }
 
--- a/Hallchute/src/Observability/LogLine.h
+++ b/Hallchute/src/Observability/LogLine.h
@@ -13,13 +13,14 @@
 
 namespace Hallchute {
 
-/// \brief One structured log line: what was decided or learned, from what, with what outcome.
+/// \brief A structured log line: an event and its members, such as a decision, its inputs and its
+/// outcome.
 /// \ingroup Observability
 ///
-/// Written when it goes out of scope. Never blocks; any thread.
+/// The destructor writes the line. Thread-safe; never blocks on output.
 class LogLine {
  public:
-  /// \param event a stable name in lower case, as in `request.end`.
+  /// \param event a stable lower-case name, such as `request.end`.
   LogLine(LogLevel level, std::string_view event);
   ~LogLine();
   LogLine(const LogLine&) = delete;
@@ -31,7 +32,7 @@
   LogLine& with(std::string_view key, std::uint64_t value);
   LogLine& with(std::string_view key, int value);
   LogLine& with(std::string_view key, bool value);
-  /// \brief Milliseconds; the key should end in `Ms`.
+  /// \brief Written in milliseconds; the key should end in `Ms`.
   LogLine& with(std::string_view key, Millis value);
 
  private:
--- a/Hallchute/src/Observability/Metrics.cpp
+++ b/Hallchute/src/Observability/Metrics.cpp
@@ -8,14 +8,14 @@
 namespace Hallchute {
 namespace {
 
-void writeType(const std::string& name, std::string_view kind, std::string& last,
+void writeType(const std::string& name, std::string_view type, std::string& lastName,
                std::string& page) {
-  if (name == last) return;
-  last = name;
-  page += "# TYPE " + name + " " + std::string(kind) + "\n";
+  if (name == lastName) return;
+  lastName = name;
+  page += "# TYPE " + name + " " + std::string(type) + "\n";
 }
 
-std::string braces(const std::string& labels) {
+std::string labelBlock(const std::string& labels) {
   return labels.empty() ? "" : "{" + labels + "}";
 }
 
@@ -39,9 +39,9 @@
   DurationHistogram* histogram = nullptr;
   {
     const std::lock_guard lock(mutex_);
-    auto& place = histograms_[{std::string(name), std::string(labels)}];
-    if (!place) place = std::make_unique<DurationHistogram>();
-    histogram = place.get();
+    auto& entry = histograms_[{std::string(name), std::string(labels)}];
+    if (!entry) entry = std::make_unique<DurationHistogram>();
+    histogram = entry.get();
   }
   histogram->record(duration);
 }
@@ -55,17 +55,17 @@
 std::string Metrics::page() const {
   const std::lock_guard lock(mutex_);
   std::string page;
-  std::string last;
+  std::string lastName;
   for (const auto& [series, value] : counters_) {
-    writeType(series.name, "counter", last, page);
-    page += series.name + braces(series.labels) + " " + std::to_string(value) + "\n";
+    writeType(series.name, "counter", lastName, page);
+    page += series.name + labelBlock(series.labels) + " " + std::to_string(value) + "\n";
   }
   for (const auto& [series, value] : gauges_) {
-    writeType(series.name, "gauge", last, page);
-    page += series.name + braces(series.labels) + " " + std::to_string(value) + "\n";
+    writeType(series.name, "gauge", lastName, page);
+    page += series.name + labelBlock(series.labels) + " " + std::to_string(value) + "\n";
   }
   for (const auto& [series, histogram] : histograms_) {
-    writeType(series.name, "histogram", last, page);
+    writeType(series.name, "histogram", lastName, page);
     histogram->write(series.name, series.labels, page);
   }
   return page;
--- a/Hallchute/src/Observability/Metrics.h
+++ b/Hallchute/src/Observability/Metrics.h
@@ -17,11 +17,11 @@
 
 class DurationHistogram;
 
-/// \brief All numbers that a daemon shows of itself.
+/// \brief The registry of a daemon's counters, gauges and histograms.
 /// \ingroup Observability
 ///
-/// Any thread. A series is a metric name and its labels as Prometheus writes them. Cost: a lock
-/// and a map look-up per call.
+/// Thread-safe. A series is a metric name and its labels in Prometheus syntax. Each call costs a
+/// lock and a map look-up.
 class Metrics {
  public:
   Metrics();
@@ -34,7 +34,7 @@
   void time(std::string_view name, std::string_view labels,
             std::chrono::duration<double, std::milli> duration);
   std::uint64_t counter(std::string_view name, std::string_view labels) const;
-  /// \brief The page in the Prometheus text format.
+  /// \brief All series in the Prometheus text format.
   std::string page() const;
 
  private:
--- a/app/main.cpp
+++ b/app/main.cpp
@@ -13,8 +13,8 @@
 #include "platform/GatewayCommand.h"
 
 int main(int argc, char** argv) {
-  Hallchute::registerCommand(
-      {"gateway", "run a gateway for the platform: --config=FILE", Hallchute::gatewayCommand});
+  Hallchute::registerCommand({"gateway", "serve the platform's traffic as a gateway: --config=FILE",
+                              Hallchute::gatewayCommand});
   absl::SetProgramUsageMessage(std::string(Hallchute::usageText()));
   if (argc == 2 && std::string_view(argv[1]) == "--help") {
     std::cout << Hallchute::usageText();
