--- a/Hallchute/src/Core/Time.h
+++ b/Hallchute/src/Core/Time.h
@@ -9,7 +9,7 @@
 namespace Hallchute {
 
 /// \brief A time on the monotonic clock. Decision code takes the current time as a parameter and
-/// never reads the clock, so that tests control it. \ingroup Core
+/// never reads the clock. \ingroup Core
 using Instant = std::chrono::steady_clock::time_point;
 
 /// \brief The unit of all limits and delays in hallchute.
