--- a/Hallchute/src/Cli/OperatorCommands.cpp
+++ b/Hallchute/src/Cli/OperatorCommands.cpp
@@ -62,8 +62,8 @@
 }
 
 /// Calls the daemon. Prints the fault and gives nothing if it gives no answer.
-std::optional<HttpAnswer> callDaemon(const std::string& method, const std::string& target,
-                                     const std::string& body) {
+std::optional<HttpResponse> callDaemon(const std::string& method, const std::string& target,
+                                       const std::string& body) {
   const std::string address = flagOr(absl::GetFlag(FLAGS_operator), "HALLCHUTE_OPERATOR");
   const std::string token = flagOr(absl::GetFlag(FLAGS_token), "HALLCHUTE_TOKEN");
   if (address.empty()) {
@@ -73,7 +73,7 @@
   HttpExchange exchange({address, "", kLimit, kLimit});
   const HttpResult result = exchange.run(
       {method, target, "application/json", body, {{"Authorization", "Bearer " + token}}});
-  if (const auto* answer = std::get_if<HttpAnswer>(&result)) return *answer;
+  if (const auto* answer = std::get_if<HttpResponse>(&result)) return *answer;
   const auto* never = std::get_if<HttpNeverSent>(&result);
   std::cerr << (never != nullptr ? never->detail : std::get<HttpMaybeSent>(result).detail) << "\n";
   return std::nullopt;
--- a/Hallchute/src/Daemon/AnswerRunner.cpp
+++ b/Hallchute/src/Daemon/AnswerRunner.cpp
@@ -57,22 +57,22 @@
 }
 
 AnswerRunner::Next AnswerRunner::step() {
-  if (job_->order() == JobOrder::cancel) {
+  if (job_->command() == JobCommand::cancel) {
     job_->refuse(makeRefusal(RefusalReason::badRequest, "cancelled by its caller"));
     return Next::done;
   }
-  if (job_->order() == JobOrder::pause) {
-    job_->notePaused();
+  if (job_->command() == JobCommand::pause) {
+    job_->markPaused();
     return Next::done;
   }
-  if (job_->order() == JobOrder::move) job_->takeMove();
+  if (job_->command() == JobCommand::move) job_->takeMove();
   if (clockNow() >= job_->spec().deadline) {
     job_->refuse(makeRefusal(RefusalReason::upstreamFailed, "requestLimitMs has passed"));
     return Next::done;
   }
   GrantOutcome outcome = context_.acquire(makeGrantSpec());
   if (const auto* refusal = std::get_if<Refusal>(&outcome)) return onGrantRefused(*refusal);
-  return runAttempt(*std::get<std::unique_ptr<GrantHold>>(outcome));
+  return runAttempt(*std::get<std::unique_ptr<ScopedGrant>>(outcome));
 }
 
 GrantSpec AnswerRunner::makeGrantSpec() const {
@@ -100,7 +100,7 @@
     return Next::done;
   }
   // An accepted request waits for a grant until its deadline.
-  job_->pauseFor(
+  job_->waitForCommand(
       std::clamp(refusal.retryAfter.value_or(kMaxRetryDelay), kMinRetryDelay, kMaxRetryDelay));
   return Next::proceed;
 }
@@ -126,7 +126,7 @@
   return request;
 }
 
-AnswerRunner::Next AnswerRunner::runAttempt(GrantHold& grant) {
+AnswerRunner::Next AnswerRunner::runAttempt(ScopedGrant& grant) {
   EngineHttp engine(grant.address(), context_.ownIp,
                     Millis(policyValue(context_, job_->spec(), PolicyKey::connectLimitMs)));
   const std::uint64_t epoch = job_->beginAttempt(grant.upstream());
@@ -139,17 +139,17 @@
   return afterStream(grant, engine, epoch, result);
 }
 
-bool AnswerRunner::onEvent(const EngineEvent& event, const GrantHold& grant) {
+bool AnswerRunner::onEvent(const EngineEvent& event, const ScopedGrant& grant) {
   dispatched_ = true;
   std::visit(
-      Overloaded{[&](const ComputedWord& computed) {
+      Overloaded{[&](const ComputedTokens& computed) {
                    // Tokens that an earlier attempt had already computed are lost work.
                    if (resumption_) {
                      context_.metrics.add("hallchute_recomputed_tokens_total", metricLabels(),
                                           computed.tokens);
                    }
                  },
-                 [&](const LeavingWord& leave) {
+                 [&](const LeaveNotice& leave) {
                    context_.noteLeave({grant.upstream(), leave.leavesIn, LeaveSource::upstream});
                  },
                  [&](const AnswerChunk& chunk) {
@@ -168,7 +168,7 @@
       event);
   resumption_ = resumption_ || job_->tokenCount() > 0;
   if (clockNow() >= job_->spec().deadline) return false;
-  return !finished_ && !offsetGap_ && job_->order() == JobOrder::none;
+  return !finished_ && !offsetGap_ && job_->command() == JobCommand::none;
 }
 
 void AnswerRunner::recordTokenMetrics() {
@@ -182,7 +182,7 @@
   lastTokenAt_ = now;
 }
 
-AnswerRunner::Next AnswerRunner::afterStream(GrantHold& grant, EnginePort& engine,
+AnswerRunner::Next AnswerRunner::afterStream(ScopedGrant& grant, EnginePort& engine,
                                              std::uint64_t epoch, const StreamResult& result) {
   if (finished_) {
     grant.end(GrantEnd::finished);
@@ -193,10 +193,10 @@
   return onFailure(grant, result);
 }
 
-AnswerRunner::Next AnswerRunner::onOrder(GrantHold& grant, EnginePort& engine,
+AnswerRunner::Next AnswerRunner::onOrder(ScopedGrant& grant, EnginePort& engine,
                                          std::uint64_t epoch) {
   const std::string request = job_->spec().request.str();
-  if (job_->order() == JobOrder::move) {
+  if (job_->command() == JobCommand::move) {
     const Migration migration = job_->takeMove();
     const bool transfersCache = std::holds_alternative<MoveCache>(migration);
     if (transfersCache) exportedCache_ = engine.exportCache(request, epoch);
@@ -213,7 +213,7 @@
   return Next::proceed;
 }
 
-AnswerRunner::Next AnswerRunner::onFailure(GrantHold& grant, const StreamResult& result) {
+AnswerRunner::Next AnswerRunner::onFailure(ScopedGrant& grant, const StreamResult& result) {
   logLine(LogLevel::warning,
           "attempt at upstream " + grant.upstream().str() + " failed: " + result.detail);
   excluded_.push_back(grant.upstream());
@@ -235,7 +235,8 @@
   ++failureCount_;
   if (accepted()) {
     // An exhausted retry budget delays an accepted request but does not end it.
-    if (!context_.budgets.tryConsumeRetry(job_->spec().service)) job_->pauseFor(kMaxRetryDelay);
+    if (!context_.budgets.tryConsumeRetry(job_->spec().service))
+      job_->waitForCommand(kMaxRetryDelay);
     return Next::proceed;
   }
   const bool mayRetry =
--- a/Hallchute/src/Daemon/AnswerRunner.h
+++ b/Hallchute/src/Daemon/AnswerRunner.h
@@ -35,12 +35,12 @@
 
   Next step();
   Next onGrantRefused(const Refusal& refusal);
-  Next runAttempt(GrantHold& grant);
-  Next afterStream(GrantHold& grant, EnginePort& engine, std::uint64_t epoch,
+  Next runAttempt(ScopedGrant& grant);
+  Next afterStream(ScopedGrant& grant, EnginePort& engine, std::uint64_t epoch,
                    const StreamResult& result);
-  Next onOrder(GrantHold& grant, EnginePort& engine, std::uint64_t epoch);
-  Next onFailure(GrantHold& grant, const StreamResult& result);
-  bool onEvent(const EngineEvent& event, const GrantHold& grant);
+  Next onOrder(ScopedGrant& grant, EnginePort& engine, std::uint64_t epoch);
+  Next onFailure(ScopedGrant& grant, const StreamResult& result);
+  bool onEvent(const EngineEvent& event, const ScopedGrant& grant);
   void recordTokenMetrics();
   GenerateRequest makeRequest(EnginePort& engine, std::uint64_t epoch);
   GrantSpec makeGrantSpec() const;
--- a/Hallchute/src/Daemon/CallerRequest.h
+++ b/Hallchute/src/Daemon/CallerRequest.h
@@ -24,7 +24,7 @@
 /// \brief An authenticated caller, with the settings in force when the request arrived.
 /// \ingroup Daemon
 struct Caller {
-  std::shared_ptr<const SettingsInForce> settings;
+  std::shared_ptr<const ActiveSettings> settings;
   const Organisation* organisation = nullptr;
 };
 
--- a/Hallchute/src/Daemon/CallerServices.h
+++ b/Hallchute/src/Daemon/CallerServices.h
@@ -10,7 +10,7 @@
 
 class JobRecords;
 class JobStarter;
-class OnceKeeper;
+class OnceRecordStore;
 class PeerJobs;
 struct TrafficContext;
 
@@ -21,7 +21,7 @@
   JobStarter& starter;
   JobRecords& records;
   PeerJobs& peers;
-  OnceKeeper& onceRecords;
+  OnceRecordStore& onceRecords;
   /// Set when the daemon begins to drain: readiness checks fail from then on, so that the load
   /// balancer routes callers to other daemons.
   std::atomic<bool> draining{false};
--- a/Hallchute/src/Daemon/CompletionHandler.cpp
+++ b/Hallchute/src/Daemon/CompletionHandler.cpp
@@ -88,7 +88,7 @@
                                                 const Caller& caller, const CompletionBody& body) {
   const auto workClass = selectWorkClass(request, caller, body.service);
   if (const auto* refusal = std::get_if<Refusal>(&workClass)) return *refusal;
-  GenerationWish generation;
+  JobParameters generation;
   generation.workClass = std::get<const WorkClass*>(workClass);
   if (!generation.workClass->repeatable) {
     return Refusal{RefusalReason::badRequest,
--- a/Hallchute/src/Daemon/CompletionHandler.h
+++ b/Hallchute/src/Daemon/CompletionHandler.h
@@ -15,7 +15,7 @@
 namespace Hallchute {
 
 struct CompletionBody;
-struct GenerationWish;
+struct JobParameters;
 
 /// \brief Answers `/v1/chat/completions` and `/v1/completions`.
 /// \ingroup Daemon
--- a/Hallchute/src/Daemon/Control.cpp
+++ b/Hallchute/src/Daemon/Control.cpp
@@ -56,7 +56,7 @@
   for (const std::string& seed : startup.seeds) membership_.addSeed(seed);
   transport_.serve(PeerPath::kSettings, [this](const PeerStreamPtr& s) { serveSettings(s); });
   transport_.serve(PeerPath::kHosts, [this](const PeerStreamPtr& s) { serveHosts(s); });
-  settings_.set(changes_.inForce());
+  settings_.set(changes_.activeSettings());
 }
 
 Control::~Control() {
@@ -109,7 +109,7 @@
   const Instant until = clockNow() + limit;
   for (;;) {
     bool acknowledged = false;
-    loop_.call([&] { acknowledged = gossip_.wasSpread(announcement.upstream); });
+    loop_.call([&] { acknowledged = gossip_.isLeaveAcknowledged(announcement.upstream); });
     if (acknowledged || clockNow() >= until) return acknowledged;
     std::this_thread::sleep_for(kAcknowledgementPollInterval);
   }
@@ -138,7 +138,7 @@
   std::map<UpstreamId, std::vector<JobPtr>> leaving;
   for (const JobPtr& job : jobs_.running()) {
     const UpstreamInfo* info = directory_.find(job->upstream());
-    if (info != nullptr && info->leavesAt && job->order() == JobOrder::none) {
+    if (info != nullptr && info->leavesAt && job->command() == JobCommand::none) {
       leaving[info->id].push_back(job);
     }
   }
@@ -153,12 +153,12 @@
         static_cast<double>(tree.policy(PolicyKey::transferTokensPerSecond, scope))};
     std::vector<RunningStream> streams;
     for (std::size_t i = 0; i < jobs.size(); ++i) {
-      streams.push_back(jobs[i]->streamFacts(now));
+      streams.push_back(jobs[i]->migrationInput(now));
       streams.back().stream = i;
     }
     for (const StreamMigration& planned : planMigrations(streams, window)) {
       if (std::holds_alternative<FinishInPlace>(planned.migration)) continue;
-      jobs[planned.stream]->orderMove(planned.migration);
+      jobs[planned.stream]->requestMove(planned.migration);
     }
   }
 }
@@ -171,12 +171,12 @@
 
 void Control::applySnapshot(std::uint64_t revision, const JsonObject& json) {
   loop_.call([this, revision, json] {
-    if (changes_.startFrom(revision, json)) publishSettings();
+    if (changes_.loadSnapshot(revision, json)) publishSettings();
   });
 }
 
 void Control::publishSettings() {
-  settings_.set(changes_.inForce());
+  settings_.set(changes_.activeSettings());
   membership_.setRevision(changes_.revision());
   owners_.refresh(clockNow());
   metrics_.set("hallchute_settings_revision", "", static_cast<double>(changes_.revision()));
@@ -216,7 +216,7 @@
     view.others = membership_.others();
     view.upstreams = directory_.all();
     view.shards = owners_.loads(clockNow());
-    view.grantsHeld = broker_.held();
+    view.grantsHeld = broker_.activeCount();
     view.peerBytesSent = transport_.bytesSent();
     view.peerBytesReceived = transport_.bytesReceived();
   });
@@ -271,7 +271,7 @@
   bool changed = false;
   if (!reply.snapshot.empty()) {
     const JsonObject json = parseJsonObject(reply.snapshot, findings);
-    if (json) changed = changes_.startFrom(reply.snapshotRevision, json);
+    if (json) changed = changes_.loadSnapshot(reply.snapshotRevision, json);
   }
   for (const std::string& text : reply.changes) {
     SettingsChange change = parseChange(text, findings);
@@ -288,10 +288,10 @@
     if (!open || !request) return;
     SettingsReplyMessage reply;
     const auto newer = changes_.after(request->revision, kChangesPerReply);
-    for (const SettingsChange& change : newer) reply.changes.push_back(changeText(change));
+    for (const SettingsChange& change : newer) reply.changes.push_back(serializeChange(change));
     if (newer.empty() && changes_.revision() > request->revision) {
       reply.snapshotRevision = changes_.revision();
-      reply.snapshot = jsonText(changes_.inForce()->json);
+      reply.snapshot = jsonText(changes_.activeSettings()->json);
     }
     open->send(pack(reply));
     open->finish();
--- a/Hallchute/src/Daemon/Daemon.cpp
+++ b/Hallchute/src/Daemon/Daemon.cpp
@@ -27,7 +27,7 @@
 Daemon::Daemon(StartupFile startup)
     : startup_(std::move(startup)),
       platformHttp_(startup_.platformAddress, startup_.platformToken, startup_.ownIp(),
-                    startup_.platformLimit),
+                    startup_.platformTimeout),
       platform_(platformHttp_),
       control_(startup_, settings_, jobs_, metrics_),
       context_{startup_.daemon,
@@ -47,7 +47,7 @@
       starter_(context_, records_),
       peers_(control_, context_, starter_, records_),
       services_{context_, starter_, records_, peers_, onceRecords_},
-      callerServer_(services_, startup_.callerListen, startup_.maxCallers),
+      callerServer_(services_, startup_.callerListen, startup_.maxCallerConnections),
       editor_(platform_, settings_,
               [this](const SettingsChange& change) { control_.applyChange(change); }),
       follower_(platform_, editor_, control_, health_, metrics_),
@@ -103,7 +103,7 @@
     limit = *stopLimit_;
   }
   Drain(services_, control_, callerServer_).run(limit, stopNow_);
-  for (const JobPtr& job : jobs_.running()) job->orderCancel();
+  for (const JobPtr& job : jobs_.running()) job->requestCancel();
   starter_.waitIdle(limit + kReclaimMargin);
   maintenanceRunning_ = false;
   maintenanceThread_.join();
--- a/Hallchute/src/Daemon/Daemon.h
+++ b/Hallchute/src/Daemon/Daemon.h
@@ -16,7 +16,7 @@
 #include "Hallchute/src/Daemon/JobRecords.h"
 #include "Hallchute/src/Daemon/JobStarter.h"
 #include "Hallchute/src/Daemon/JobTable.h"
-#include "Hallchute/src/Daemon/OnceKeeper.h"
+#include "Hallchute/src/Daemon/OnceRecordStore.h"
 #include "Hallchute/src/Daemon/OperatorServer.h"
 #include "Hallchute/src/Daemon/OperatorServices.h"
 #include "Hallchute/src/Daemon/PeerJobs.h"
@@ -64,7 +64,7 @@
   PlatformBreaker platform_;
   Control control_;
   TrafficContext context_;
-  OnceKeeper onceRecords_;
+  OnceRecordStore onceRecords_;
   JobRecords records_;
   JobStarter starter_;
   PeerJobs peers_;
--- a/Hallchute/src/Daemon/Drain.cpp
+++ b/Hallchute/src/Daemon/Drain.cpp
@@ -13,7 +13,7 @@
 #include "Hallchute/src/Daemon/JobRecords.h"
 #include "Hallchute/src/Daemon/JobStarter.h"
 #include "Hallchute/src/Daemon/JobTable.h"
-#include "Hallchute/src/Daemon/OnceKeeper.h"
+#include "Hallchute/src/Daemon/OnceRecordStore.h"
 #include "Hallchute/src/Daemon/PeerJobs.h"
 #include "Hallchute/src/Daemon/TrafficContext.h"
 #include "Hallchute/src/Net/Clock.h"
@@ -56,18 +56,18 @@
 
 void Drain::handOverAll() {
   const auto jobs = services_.context.jobs.running();
-  for (const auto& job : jobs) job->orderPause();
+  for (const auto& job : jobs) job->requestPause();
   const Instant until = clockNow() + kPauseTimeout;
   for (const auto& job : jobs) {
     const auto timeLeft = std::chrono::duration_cast<Millis>(until - clockNow());
-    if (!job->waitPaused(std::max(timeLeft, Millis(0)))) continue;
+    if (!job->waitUntilPaused(std::max(timeLeft, Millis(0)))) continue;
     const DaemonId peer = services_.peers.handOver(job->record(services_.context.daemon, 1));
     if (peer.empty()) {
       // No peer accepted the job: it continues here until the process ends.
       services_.starter.resume(job);
       continue;
     }
-    services_.records.noteHandOver(*job, peer);
+    services_.records.recordHandOver(*job, peer);
     job->markHandedOver(peer);
     logLine(LogLevel::info, job->spec().request.str() + " was handed over to daemon " + peer.str());
   }
@@ -81,7 +81,7 @@
   const Instant until = clockNow() + kFinalFlushTimeout;
   for (;;) {
     services_.records.checkpoint();
-    const bool saved = services_.onceRecords.flush() == 0 && services_.records.unsaved() == 0;
+    const bool saved = services_.onceRecords.flush() == 0 && services_.records.unsavedCount() == 0;
     if ((saved && server_.connections() == 0) || clockNow() >= until) return;
     std::this_thread::sleep_for(kPollInterval);
   }
--- a/Hallchute/src/Daemon/Gossip.h
+++ b/Hallchute/src/Daemon/Gossip.h
@@ -30,7 +30,7 @@
   /// \brief Starts to tick.
   void start();
   /// \brief Whether a peer has acknowledged a batch that told of this leave.
-  bool wasSpread(const UpstreamId& upstream) const { return spread_.contains(upstream); }
+  bool isLeaveAcknowledged(const UpstreamId& upstream) const { return spread_.contains(upstream); }
   void perform(const std::vector<MembershipAction>& actions);
 
  private:
--- a/Hallchute/src/Daemon/GrantBroker.cpp
+++ b/Hallchute/src/Daemon/GrantBroker.cpp
@@ -71,7 +71,7 @@
       owners_(owners),
       metrics_(metrics) {
   transport_.serve(PeerPath::kGrant, [this](const PeerStreamPtr& s) { serveGrant(s); });
-  transport_.serve(PeerPath::kHold, [this](const PeerStreamPtr& s) { serveHold(s); });
+  transport_.serve(PeerPath::kReregisterGrant, [this](const PeerStreamPtr& s) { serveHold(s); });
 }
 
 GrantBroker::~GrantBroker() = default;
@@ -128,7 +128,7 @@
   const std::vector<DaemonId> ranked = rankOwners(shard.text(), membership_.owners(shard.domain));
   if (wish->ownersAsked >= std::min(kOwnersAsked, ranked.size())) {
     if (home) {
-      shard.index = ShardOwners::kAlone;
+      shard.index = ShardOwners::kFallbackIndex;
       metrics_.add("hallchute_grants_alone_total", "");
       askLocal(wish, shard);
       return;
@@ -195,13 +195,13 @@
 
 void GrantBroker::onReply(const WishPtr& wish, const GrantReplyMessage& reply) {
   wish->acknowledged = true;
-  switch (reply.word) {
-    case GrantWord::queued:
+  switch (reply.kind) {
+    case GrantReplyKind::queued:
       return;
-    case GrantWord::granted:
+    case GrantReplyKind::granted:
       grant(wish, reply.upstream);
       return;
-    case GrantWord::refused:
+    case GrantReplyKind::refused:
       wish->stream->close();
       onRefused(wish, reply.refusal);
       return;
@@ -259,7 +259,7 @@
                          RunOutcome::notRun, kNoUpstreamRetryAfter});
     return;
   }
-  auto hold = std::make_unique<GrantHold>(
+  auto hold = std::make_unique<ScopedGrant>(
       upstream, info->host.address,
       [this, key = active->key] { loop_.post([this, key] { noteFirstToken(key); }); },
       [this, key = active->key](GrantEnd end) {
@@ -273,7 +273,7 @@
   if (it == active_.end()) return;
   const Active& active = *it->second;
   if (active.localId != 0) owners_.noteFirstToken(active.shard, active.localId, clockNow());
-  if (active.stream) active.stream->send(pack(GrantNoteMessage{false, GrantEnd::cancelled}));
+  if (active.stream) active.stream->send(pack(GrantProgressMessage{false, GrantEnd::cancelled}));
 }
 
 void GrantBroker::release(std::uint64_t key, GrantEnd end) {
@@ -284,15 +284,15 @@
   if (active->localId != 0) owners_.release(active->shard, active->localId, end, clockNow());
   if (active->stream) {
     active->stream->onClosed = nullptr;
-    active->stream->send(pack(GrantNoteMessage{true, end}));
+    active->stream->send(pack(GrantProgressMessage{true, end}));
     active->stream->finish();
   }
 }
 
 void GrantBroker::onOwnersChanged() {
-  owners_.setSharers(membership_.owners(membership_.self().domain).size());
+  owners_.setDaemonCount(membership_.owners(membership_.self().domain).size());
   for (const auto& [key, active] : active_) {
-    if (active->shard.index == ShardOwners::kAlone) continue;
+    if (active->shard.index == ShardOwners::kFallbackIndex) continue;
     const auto owner = ownerOf(active->shard);
     if (!owner || *owner == active->owner) continue;
     if (active->localId != 0) {
@@ -319,8 +319,8 @@
     return;
   }
   const std::string address = membership_.find(*owner)->status.address;
-  active->stream =
-      transport_.open(address, PeerPath::kHold, pack(HoldMessage{active->shard, active->held}));
+  active->stream = transport_.open(address, PeerPath::kReregisterGrant,
+                                   pack(ReregisterGrantMessage{active->shard, active->held}));
   active->stream->onClosed = [this, active] {
     active->stream = nullptr;
     loop_.after(kReholdPause, [this, active] { holdAt(active); });
@@ -342,7 +342,7 @@
     const PeerStreamPtr open = weak.lock();
     if (!open) return;
     if (served->id != 0) {
-      const auto note = unpack<GrantNoteMessage>(bytes);
+      const auto note = unpack<GrantProgressMessage>(bytes);
       if (note && note->ended) served->end = note->end;
       if (note && !note->ended) owners_.noteFirstToken(served->shard, served->id, clockNow());
       return;
@@ -362,12 +362,12 @@
       if (!to) return;
       GrantReplyMessage reply;
       std::visit(Overloaded{[&](const Granted& g) {
-                              reply.word = GrantWord::granted;
+                              reply.kind = GrantReplyKind::granted;
                               reply.upstream = g.upstream;
                             },
                             [](const Queued&) {},
                             [&](const GrantRefused& r) {
-                              reply.word = GrantWord::refused;
+                              reply.kind = GrantReplyKind::refused;
                               reply.refusal = r.refusal;
                             }},
                  action);
@@ -378,18 +378,18 @@
 }
 
 void GrantBroker::serveHold(const PeerStreamPtr& stream) {
-  auto held = std::make_shared<std::optional<HoldMessage>>();
+  auto held = std::make_shared<std::optional<ReregisterGrantMessage>>();
   auto end = std::make_shared<GrantEnd>(GrantEnd::cancelled);
   stream->onClosed = [this, held, end] {
     if (*held) owners_.release((*held)->shard, (*held)->held.id, *end, clockNow());
   };
   stream->onMessage = [this, held, end](std::string_view bytes) {
     if (*held) {
-      const auto note = unpack<GrantNoteMessage>(bytes);
+      const auto note = unpack<GrantProgressMessage>(bytes);
       if (note && note->ended) *end = note->end;
       return;
     }
-    *held = unpack<HoldMessage>(bytes);
+    *held = unpack<ReregisterGrantMessage>(bytes);
     if (!*held) return;
     (*held)->held.id = owners_.newId();
     owners_.hold((*held)->shard, (*held)->held, clockNow());
--- a/Hallchute/src/Daemon/GrantBroker.h
+++ b/Hallchute/src/Daemon/GrantBroker.h
@@ -46,7 +46,7 @@
   GrantOutcome acquire(const GrantSpec& spec);
   /// \brief Reports grants to owners that are new.
   void onOwnersChanged();
-  std::size_t held() const { return active_.size(); }
+  std::size_t activeCount() const { return active_.size(); }
 
  private:
   struct Wish;
--- a/Hallchute/src/Daemon/GrantSpec.cpp
+++ b/Hallchute/src/Daemon/GrantSpec.cpp
@@ -5,17 +5,17 @@
 
 namespace Hallchute {
 
-GrantHold::GrantHold(UpstreamId upstream, std::string address, Started started, Release release)
+ScopedGrant::ScopedGrant(UpstreamId upstream, std::string address, Started started, Release release)
     : upstream_(std::move(upstream)),
       address_(std::move(address)),
       started_(std::move(started)),
       release_(std::move(release)) {}
 
-GrantHold::~GrantHold() {
+ScopedGrant::~ScopedGrant() {
   end(GrantEnd::cancelled);
 }
 
-void GrantHold::end(GrantEnd end) {
+void ScopedGrant::end(GrantEnd end) {
   const Release release = std::move(release_);
   release_ = nullptr;
   if (release) release(end);
--- a/Hallchute/src/Daemon/GrantSpec.h
+++ b/Hallchute/src/Daemon/GrantSpec.h
@@ -26,15 +26,15 @@
 
 /// \brief A place at an upstream, given back when it goes out of scope. Any thread.
 /// \ingroup Daemon
-class GrantHold {
+class ScopedGrant {
  public:
   using Release = std::function<void(GrantEnd)>;
   using Started = std::function<void()>;
 
-  GrantHold(UpstreamId upstream, std::string address, Started started, Release release);
-  ~GrantHold();
-  GrantHold(const GrantHold&) = delete;
-  GrantHold& operator=(const GrantHold&) = delete;
+  ScopedGrant(UpstreamId upstream, std::string address, Started started, Release release);
+  ~ScopedGrant();
+  ScopedGrant(const ScopedGrant&) = delete;
+  ScopedGrant& operator=(const ScopedGrant&) = delete;
 
   const UpstreamId& upstream() const { return upstream_; }
   const std::string& address() const { return address_; }
@@ -51,7 +51,7 @@
 };
 
 /// \ingroup Daemon
-using GrantOutcome = std::variant<std::unique_ptr<GrantHold>, Refusal>;
+using GrantOutcome = std::variant<std::unique_ptr<ScopedGrant>, Refusal>;
 
 }  // namespace Hallchute
 
--- a/Hallchute/src/Daemon/Job.cpp
+++ b/Hallchute/src/Daemon/Job.cpp
@@ -100,21 +100,21 @@
   notify();
 }
 
-JobOrder Job::pauseFor(Millis time) {
+JobCommand Job::waitForCommand(Millis time) {
   std::unique_lock lock(mutex_);
-  changed_.wait_for(lock, time, [&] { return orderNow_ != JobOrder::none; });
+  changed_.wait_for(lock, time, [&] { return orderNow_ != JobCommand::none; });
   return orderNow_;
 }
 
 Migration Job::takeMove() {
   const std::lock_guard lock(mutex_);
-  if (orderNow_ == JobOrder::move) orderNow_ = JobOrder::none;
+  if (orderNow_ == JobCommand::move) orderNow_ = JobCommand::none;
   // It has left: it must not be ordered away from there once more.
   upstream_ = UpstreamId();
   return migration_;
 }
 
-void Job::notePaused() {
+void Job::markPaused() {
   {
     const std::lock_guard lock(mutex_);
     paused_ = true;
@@ -123,33 +123,33 @@
   changed_.notify_all();
 }
 
-void Job::setOrder(JobOrder order) {
+void Job::setOrder(JobCommand command) {
   {
     const std::lock_guard lock(mutex_);
-    if (ended() || orderNow_ == JobOrder::cancel) return;
-    orderNow_ = order;
+    if (ended() || orderNow_ == JobCommand::cancel) return;
+    orderNow_ = command;
   }
   changed_.notify_all();
 }
 
-void Job::orderMove(const Migration& migration) {
+void Job::requestMove(const Migration& migration) {
   {
     const std::lock_guard lock(mutex_);
-    if (orderNow_ != JobOrder::none) return;
+    if (orderNow_ != JobCommand::none) return;
     migration_ = migration;
   }
-  setOrder(JobOrder::move);
+  setOrder(JobCommand::move);
 }
 
-void Job::orderPause() {
-  setOrder(JobOrder::pause);
+void Job::requestPause() {
+  setOrder(JobCommand::pause);
 }
 
-void Job::orderCancel() {
-  setOrder(JobOrder::cancel);
+void Job::requestCancel() {
+  setOrder(JobCommand::cancel);
 }
 
-bool Job::waitPaused(Millis limit) {
+bool Job::waitUntilPaused(Millis limit) {
   std::unique_lock lock(mutex_);
   changed_.wait_for(lock, limit, [&] { return paused_ || ended(); });
   return paused_ && !ended();
@@ -158,7 +158,7 @@
 void Job::resume() {
   const std::lock_guard lock(mutex_);
   paused_ = false;
-  if (orderNow_ == JobOrder::pause) orderNow_ = JobOrder::none;
+  if (orderNow_ == JobCommand::pause) orderNow_ = JobCommand::none;
 }
 
 void Job::markHandedOver(const DaemonId& peer) {
@@ -186,7 +186,7 @@
   return handedTo_;
 }
 
-RunningStream Job::streamFacts(Instant now) const {
+RunningStream Job::migrationInput(Instant now) const {
   const std::lock_guard lock(mutex_);
   RunningStream facts;
   const std::size_t produced = answer_.tokens().size();
--- a/Hallchute/src/Daemon/Job.h
+++ b/Hallchute/src/Daemon/Job.h
@@ -27,7 +27,7 @@
 
 /// \brief What a runner must stop for.
 /// \ingroup Daemon
-enum class JobOrder { none, move, pause, cancel };
+enum class JobCommand { none, move, pause, cancel };
 
 /// \brief What a reader sees of an answer from some token on.
 /// \ingroup Daemon
@@ -57,22 +57,22 @@
   void finish();
   void refuse(Refusal refusal);
   /// \brief Waits for \p time or until an order comes. \returns the order.
-  JobOrder pauseFor(Millis time);
-  JobOrder order() const { return orderNow_.load(); }
+  JobCommand waitForCommand(Millis time);
+  JobCommand command() const { return orderNow_.load(); }
   /// \brief Takes a `move` order. \returns how to move.
   Migration takeMove();
   /// \brief Says that the runner has stopped for a `pause` order.
-  void notePaused();
+  void markPaused();
 
   /// \brief Appends tokens of a job that runs on another daemon and is only shown here.
   void mirror(const std::vector<std::string>& tokens);
 
   // For control.
-  void orderMove(const Migration& migration);
-  void orderPause();
-  void orderCancel();
+  void requestMove(const Migration& migration);
+  void requestPause();
+  void requestCancel();
   /// \brief Waits until the runner stopped. \returns false on time-out or if the job has ended.
-  bool waitPaused(Millis limit);
+  bool waitUntilPaused(Millis limit);
   /// \brief Lets a paused job run again.
   void resume();
   void markHandedOver(const DaemonId& peer);
@@ -80,7 +80,7 @@
   JobStage stage() const;
   std::optional<DaemonId> handedTo() const;
   /// \brief What planMigrations() needs to know.
-  RunningStream streamFacts(Instant now) const;
+  RunningStream migrationInput(Instant now) const;
   HandOverRecord record(const DaemonId& holder, std::uint64_t generation) const;
 
   // For readers.
@@ -95,7 +95,7 @@
   Instant endedAt() const;
 
  private:
-  void setOrder(JobOrder order);
+  void setOrder(JobCommand command);
   void notify();
   bool ended() const;
 
@@ -114,7 +114,7 @@
   Instant endedAt_{};
   Instant detachedAt_{};
   bool paused_ = false;
-  std::atomic<JobOrder> orderNow_{JobOrder::none};
+  std::atomic<JobCommand> orderNow_{JobCommand::none};
   std::atomic<int> readers_{0};
 };
 
--- a/Hallchute/src/Daemon/JobFactory.cpp
+++ b/Hallchute/src/Daemon/JobFactory.cpp
@@ -11,7 +11,7 @@
 namespace Hallchute {
 namespace {
 
-std::uint64_t affinityOf(const GenerationWish& wish, const PrefixBlocks& blocks) {
+std::uint64_t affinityOf(const JobParameters& wish, const PrefixBlocks& blocks) {
   const std::uint64_t seed = stableHash(wish.organisation->name.str());
   if (!wish.session.empty()) return stableHash(wish.session, seed);
   if (!blocks.hashes.empty()) return blocks.hashes.front() ^ seed;
@@ -20,8 +20,7 @@
 
 }  // namespace
 
-JobSpec makeJobSpec(const GenerationWish& wish, const SettingsTree& tree,
-                    const DomainName& domain) {
+JobSpec makeJobSpec(const JobParameters& wish, const SettingsTree& tree, const DomainName& domain) {
   const PolicyScope scope{domain, wish.service, wish.organisation->name};
   const PrefixBlocks blocks = prefixBlocks(wish.prompt);
   JobSpec spec;
@@ -57,7 +56,7 @@
     workClass = it->second;
   }
   workClass.name = record.workClass;
-  GenerationWish wish;
+  JobParameters wish;
   wish.request = record.request;
   wish.organisation = &organisation;
   wish.workClass = &workClass;
--- a/Hallchute/src/Daemon/JobFactory.h
+++ b/Hallchute/src/Daemon/JobFactory.h
@@ -18,7 +18,7 @@
 
 /// \brief A generation as a caller asked for it, after its checks.
 /// \ingroup Daemon
-struct GenerationWish {
+struct JobParameters {
   RequestId request;
   const Organisation* organisation = nullptr;
   const WorkClass* workClass = nullptr;
@@ -33,7 +33,7 @@
 
 /// \brief The specification of a job, with the numbers in force.
 /// \ingroup Daemon
-JobSpec makeJobSpec(const GenerationWish& wish, const SettingsTree& tree, const DomainName& domain);
+JobSpec makeJobSpec(const JobParameters& wish, const SettingsTree& tree, const DomainName& domain);
 
 /// \brief Makes a job of a record that another daemon left.
 /// \ingroup Daemon
--- a/Hallchute/src/Daemon/JobRecords.cpp
+++ b/Hallchute/src/Daemon/JobRecords.cpp
@@ -57,7 +57,7 @@
   return false;
 }
 
-void JobRecords::noteHandOver(const Job& job, const DaemonId& peer) {
+void JobRecords::recordHandOver(const Job& job, const DaemonId& peer) {
   const std::string key = requestKey(job.spec().request);
   Kept kept;
   {
@@ -74,7 +74,7 @@
   logLine(LogLevel::warning, "the hand-over of " + job.spec().request.str() + " has no record");
 }
 
-void JobRecords::takeOverSoon(const RequestId& request) {
+void JobRecords::scheduleTakeOver(const RequestId& request) {
   const std::lock_guard lock(mutex_);
   toTakeOver_.push_back(request);
 }
@@ -91,7 +91,7 @@
   } else if (create(*job)) {
     return;
   }
-  takeOverSoon(request);
+  scheduleTakeOver(request);
 }
 
 void JobRecords::checkpoint() {
@@ -184,7 +184,7 @@
     const auto reply = context_.platform.list(kRequestPrefix, after, kPage);
     const auto* done = std::get_if<Done<ObjectList>>(&reply);
     if (done == nullptr) return claimed;
-    context_.health.noteAnswer(now);
+    context_.health.recordAnswer(now);
     for (const StoredObject& object : done->value.objects) {
       after = object.key;
       Findings findings;
@@ -216,7 +216,7 @@
                  RunOutcome::unknown, kPlatformRetryAfter};
 }
 
-std::size_t JobRecords::unsaved() const {
+std::size_t JobRecords::unsavedCount() const {
   const std::lock_guard lock(mutex_);
   return kept_.size();
 }
--- a/Hallchute/src/Daemon/JobRecords.h
+++ b/Hallchute/src/Daemon/JobRecords.h
@@ -35,9 +35,9 @@
   /// \brief Creates the record of a job. \returns whether it surely stands.
   bool create(const Job& job, std::uint64_t generation = 1);
   /// \brief Writes the record of a job that goes to \p peer, in case the peer dies with it.
-  void noteHandOver(const Job& job, const DaemonId& peer);
+  void recordHandOver(const Job& job, const DaemonId& peer);
   /// \brief Takes the record of a job over that another daemon handed here.
-  void takeOverSoon(const RequestId& request);
+  void scheduleTakeOver(const RequestId& request);
   /// \brief Writes what has changed of the jobs that have a record.
   void checkpoint();
   /// \brief Claims running records whose holder is gone. \returns the jobs now held here.
@@ -45,7 +45,7 @@
   /// \brief The record of a request, if it can be read.
   std::variant<HandOverRecord, Refusal> find(const RequestId& request);
   /// \brief Records not yet written as they stand.
-  std::size_t unsaved() const;
+  std::size_t unsavedCount() const;
 
  private:
   struct Kept {
--- a/Hallchute/src/Daemon/JobTable.cpp
+++ b/Hallchute/src/Daemon/JobTable.cpp
@@ -46,7 +46,7 @@
 
 void JobTable::sweep(Instant now) {
   for (const JobPtr& job : running()) {
-    if (!job->spec().durable && job->abandonedFor(kKeepUnread, now)) job->orderCancel();
+    if (!job->spec().durable && job->abandonedFor(kKeepUnread, now)) job->requestCancel();
   }
   const std::lock_guard lock(mutex_);
   std::erase_if(jobs_, [&](const auto& entry) {
--- a/Hallchute/src/Daemon/OnceKeeper.h
+++ b/Hallchute/src/Daemon/OnceRecordStore.h
@@ -1,8 +1,8 @@
 // This file is part of hallchute, a serving system for language models.
 // SPDX-License-Identifier: Apache-2.0
 
-#ifndef HALLCHUTE_DAEMON_ONCEKEEPER_H
-#define HALLCHUTE_DAEMON_ONCEKEEPER_H
+#ifndef HALLCHUTE_DAEMON_ONCERECORDSTORE_H
+#define HALLCHUTE_DAEMON_ONCERECORDSTORE_H
 
 #include <cstdint>
 #include <deque>
@@ -22,11 +22,11 @@
 /// Outcomes that could not be stored wait here, at most kMaxWaiting of them, and are tried again.
 /// If this daemon dies first, a retry of the caller is told that the outcome is unknown, which is
 /// true.
-class OnceKeeper {
+class OnceRecordStore {
  public:
   static constexpr std::size_t kMaxWaiting = 10'000;
 
-  explicit OnceKeeper(TrafficContext& context);
+  explicit OnceRecordStore(TrafficContext& context);
   OnceEvent write(const std::string& key, const OnceRecord& record, std::uint64_t ifVersion);
   OnceEvent read(const std::string& key);
   /// \brief Stores \p record when the platform lets it.
@@ -49,4 +49,4 @@
 
 }  // namespace Hallchute
 
-#endif  // HALLCHUTE_DAEMON_ONCEKEEPER_H
+#endif  // HALLCHUTE_DAEMON_ONCERECORDSTORE_H
--- a/Hallchute/src/Daemon/OperatorHandler.cpp
+++ b/Hallchute/src/Daemon/OperatorHandler.cpp
@@ -66,7 +66,7 @@
   std::string text = "{\"changes\":[";
   const char* separator = "";
   for (const SettingsChange& change : changes) {
-    text += separator + changeText(change);
+    text += separator + serializeChange(change);
     separator = ",";
   }
   return text + "]}";
@@ -130,25 +130,25 @@
 }
 
 OperatorHandler::Reply OperatorHandler::settings() const {
-  const auto inForce = services_.settings.get();
+  const auto activeSettings = services_.settings.get();
   JsonObject json = object();
-  json->set("revision", inForce->revision);
-  json->set("settings", inForce->json);
+  json->set("revision", activeSettings->revision);
+  json->set("settings", activeSettings->json);
   return {200, "application/json", jsonText(json)};
 }
 
 OperatorHandler::Reply OperatorHandler::explain(const Poco::URI& uri) const {
-  const auto key = policyKeyNamed(query(uri, "key", ""));
+  const auto key = findPolicyKey(query(uri, "key", ""));
   if (!key) return {404, "application/json", messageJson("key names no policy number")};
   const PolicyScope scope{DomainName(query(uri, "domain", services_.startup.domain.str())),
                           ServiceName(query(uri, "service", "")),
                           OrganisationName(query(uri, "organisation", ""))};
-  const auto inForce = services_.settings.get();
-  const PolicyAnswer answer = inForce->tree.explain(*key, scope);
+  const auto activeSettings = services_.settings.get();
+  const ResolvedPolicy answer = activeSettings->tree.explain(*key, scope);
   JsonObject json = object();
   json->set("value", answer.value);
   json->set("level", answer.level);
-  json->set("revision", inForce->revision);
+  json->set("revision", activeSettings->revision);
   return {200, "application/json", jsonText(json)};
 }
 
@@ -186,7 +186,7 @@
   return std::visit(
       Overloaded{
           [](const ProposalAccepted& accepted) -> Reply {
-            return {200, "application/json", changeText(accepted.change)};
+            return {200, "application/json", serializeChange(accepted.change)};
           },
           [](const ProposalEmpty&) -> Reply {
             return {200, "application/json", messageJson("it changes nothing")};
@@ -195,7 +195,7 @@
             return {422, "application/json", jsonText(findingsJson(invalid.findings))};
           },
           [](const ProposalConflict& conflict) -> Reply {
-            return {409, "application/json", changeText(conflict.winner)};
+            return {409, "application/json", serializeChange(conflict.winner)};
           },
           [](const ProposalUnavailable& unavailable) -> Reply {
             return {503, "application/json", messageJson("not accepted: " + unavailable.detail)};
--- a/Hallchute/src/Daemon/PeerJobs.cpp
+++ b/Hallchute/src/Daemon/PeerJobs.cpp
@@ -97,7 +97,7 @@
 
 bool PeerJobs::offer(const Peer& peer, const std::string& record) {
   auto answer = std::make_shared<std::promise<bool>>();
-  auto taken = answer->get_future();
+  auto accepted = answer->get_future();
   auto decided = std::make_shared<bool>(false);
   const auto decide = [answer, decided](bool value) {
     if (*decided) return;
@@ -110,7 +110,7 @@
     stream->onClosed = [decide] { decide(false); };
     stream->onMessage = [decide, weak = std::weak_ptr<PeerStream>(stream)](std::string_view bytes) {
       const auto reply = unpack<HandOverReplyMessage>(bytes);
-      decide(reply && reply->taken);
+      decide(reply && reply->accepted);
       if (const PeerStreamPtr open = weak.lock()) open->close();
     };
     control_.loop().after(kOfferLimit, [decide, stream] {
@@ -118,7 +118,7 @@
       stream->close();
     });
   });
-  return taken.get();
+  return accepted.get();
 }
 
 void PeerJobs::serveHandOver(const PeerStreamPtr& stream) {
@@ -136,10 +136,10 @@
       if (findings.empty() && !leaving) {
         if (context_.jobs.find(record.request) == nullptr) {
           const JobPtr job = makeJob(record, settings->tree, context_.domain);
-          records_.takeOverSoon(job->spec().request);
+          records_.scheduleTakeOver(job->spec().request);
           starter_.start(job);
         }
-        reply.taken = true;
+        reply.accepted = true;
       }
     }
     open->send(pack(reply));
--- a/Hallchute/src/Daemon/PlainHandler.cpp
+++ b/Hallchute/src/Daemon/PlainHandler.cpp
@@ -35,7 +35,7 @@
   std::atomic<int>& count_;
 };
 
-void sendAnswer(Poco::Net::HTTPServerResponse& response, const PlainAnswer& answer) {
+void sendAnswer(Poco::Net::HTTPServerResponse& response, const PlainResponse& answer) {
   response.setStatusAndReason(static_cast<Poco::Net::HTTPResponse::HTTPStatus>(answer.status));
   if (!answer.contentType.empty()) response.setContentType(answer.contentType);
   if (answer.status < 200 || answer.status >= 300) response.set("Hallchute-Outcome", "ran");
@@ -107,7 +107,7 @@
   job.queueLimit = Millis(tree.policy(PolicyKey::queueLimitMs, scope));
   const PlainOutcome outcome = PlainRunner(services_.context, services_.onceRecords, job).run();
   if (const auto* refusal = std::get_if<Refusal>(&outcome)) return *refusal;
-  sendAnswer(response, std::get<PlainAnswer>(outcome));
+  sendAnswer(response, std::get<PlainResponse>(outcome));
   return std::nullopt;
 }
 
--- a/Hallchute/src/Daemon/PlainRunner.cpp
+++ b/Hallchute/src/Daemon/PlainRunner.cpp
@@ -7,7 +7,7 @@
 
 #include "Hallchute/src/Core/Overloaded.h"
 #include "Hallchute/src/Core/SecretHash.h"
-#include "Hallchute/src/Daemon/OnceKeeper.h"
+#include "Hallchute/src/Daemon/OnceRecordStore.h"
 #include "Hallchute/src/Daemon/RandomName.h"
 #include "Hallchute/src/Daemon/RetryBudgets.h"
 #include "Hallchute/src/Daemon/SettingsStore.h"
@@ -27,7 +27,7 @@
 
 }  // namespace
 
-PlainRunner::PlainRunner(TrafficContext& context, OnceKeeper& keeper, PlainJob job)
+PlainRunner::PlainRunner(TrafficContext& context, OnceRecordStore& keeper, PlainJob job)
     : context_(context), keeper_(keeper), job_(std::move(job)) {}
 
 PlainOutcome PlainRunner::run() {
@@ -50,7 +50,7 @@
   return context_.acquire(spec);
 }
 
-PlainResult PlainRunner::callAt(GrantHold& hold) {
+PlainResult PlainRunner::callAt(ScopedGrant& hold) {
   const PolicyScope scope{context_.domain, job_.service, job_.organisation->name};
   const Millis connectLimit(context_.settings.get()->tree.policy(PolicyKey::connectLimitMs, scope));
   PlainServiceHttp service(hold.address(), context_.ownIp, connectLimit);
@@ -77,9 +77,9 @@
       if (last.outcome != RunOutcome::notRun) refusal->outcome = last.outcome;
       return *refusal;
     }
-    GrantHold& hold = *std::get<std::unique_ptr<GrantHold>>(grant);
+    ScopedGrant& hold = *std::get<std::unique_ptr<ScopedGrant>>(grant);
     const PlainResult result = callAt(hold);
-    if (const auto* answer = std::get_if<PlainAnswer>(&result)) {
+    if (const auto* answer = std::get_if<PlainResponse>(&result)) {
       if (!answer->leaving) {
         hold.end(GrantEnd::finished);
         return *answer;
@@ -103,7 +103,7 @@
 PlainOutcome PlainRunner::runOnce() {
   GrantOutcome grant = acquire();
   if (const auto* refusal = std::get_if<Refusal>(&grant)) return *refusal;
-  auto hold = std::move(std::get<std::unique_ptr<GrantHold>>(grant));
+  auto hold = std::move(std::get<std::unique_ptr<ScopedGrant>>(grant));
   const std::string key = onceKey(job_.organisation->name, job_.idempotencyKey);
   OnceRecord record;
   record.attempt = randomName();
@@ -125,8 +125,8 @@
     } else if (const auto* answer = std::get_if<AnswerWithRecord>(&step)) {
       if (answer->storeLater) keeper_.storeLater(key, answer->record);
       if (answer->record.state != OnceState::done) return unknownOutcome(answer->record.body);
-      return PlainAnswer{answer->record.status, answer->record.contentType, answer->record.body,
-                         false};
+      return PlainResponse{answer->record.status, answer->record.contentType, answer->record.body,
+                           false};
     } else {
       const auto& refuse = std::get<RefuseRequest>(step);
       if (refuse.abandonLater) {
@@ -141,12 +141,12 @@
 }
 
 /// Sends the request at most once; goes to another upstream only where it surely was not sent.
-OnceEvent PlainRunner::dispatchOnce(std::unique_ptr<GrantHold> hold) {
+OnceEvent PlainRunner::dispatchOnce(std::unique_ptr<ScopedGrant> hold) {
   for (;;) {
     if (timeLeft() <= Millis(0))
       return DispatchNeverSent{"requestLimitMs passed before it was sent"};
     const PlainResult result = callAt(*hold);
-    if (const auto* answer = std::get_if<PlainAnswer>(&result); answer && !answer->leaving) {
+    if (const auto* answer = std::get_if<PlainResponse>(&result); answer && !answer->leaving) {
       hold->end(GrantEnd::finished);
       return DispatchAnswered{answer->status, answer->contentType, answer->body};
     }
@@ -165,7 +165,7 @@
     if (!context_.budgets.tryConsumeRetry(job_.service)) return DispatchNeverSent{detail};
     GrantOutcome next = acquire();
     if (std::holds_alternative<Refusal>(next)) return DispatchNeverSent{detail};
-    hold = std::move(std::get<std::unique_ptr<GrantHold>>(next));
+    hold = std::move(std::get<std::unique_ptr<ScopedGrant>>(next));
   }
 }
 
--- a/Hallchute/src/Daemon/PlainRunner.h
+++ b/Hallchute/src/Daemon/PlainRunner.h
@@ -18,7 +18,7 @@
 
 namespace Hallchute {
 
-class OnceKeeper;
+class OnceRecordStore;
 struct TrafficContext;
 
 /// \brief A call to a plain service that was let in.
@@ -36,26 +36,26 @@
 };
 
 /// \ingroup Daemon
-using PlainOutcome = std::variant<PlainAnswer, Refusal>;
+using PlainOutcome = std::variant<PlainResponse, Refusal>;
 
 /// \brief Runs a call to a plain service: once, or with retries where it may repeat.
 /// \ingroup Daemon
 class PlainRunner {
  public:
-  PlainRunner(TrafficContext& context, OnceKeeper& keeper, PlainJob job);
+  PlainRunner(TrafficContext& context, OnceRecordStore& keeper, PlainJob job);
   PlainOutcome run();
 
  private:
   PlainOutcome runRepeatable();
   PlainOutcome runOnce();
   GrantOutcome acquire();
-  PlainResult callAt(GrantHold& hold);
-  OnceEvent dispatchOnce(std::unique_ptr<GrantHold> hold);
+  PlainResult callAt(ScopedGrant& hold);
+  OnceEvent dispatchOnce(std::unique_ptr<ScopedGrant> hold);
   void noteLeaving(const UpstreamId& upstream);
   Millis timeLeft() const;
 
   TrafficContext& context_;
-  OnceKeeper& keeper_;
+  OnceRecordStore& keeper_;
   PlainJob job_;
   std::vector<UpstreamId> avoid_;
 };
--- a/Hallchute/src/Daemon/PlatformFollower.cpp
+++ b/Hallchute/src/Daemon/PlatformFollower.cpp
@@ -65,7 +65,7 @@
 }
 
 bool PlatformFollower::note(bool answered) {
-  if (answered) health_.noteAnswer(clockNow());
+  if (answered) health_.recordAnswer(clockNow());
   return answered;
 }
 
--- a/Hallchute/src/Daemon/PlatformHealth.h
+++ b/Hallchute/src/Daemon/PlatformHealth.h
@@ -19,7 +19,7 @@
 /// \ingroup Daemon
 class PlatformHealth {
  public:
-  void noteAnswer(Instant now) { last_ = now.time_since_epoch().count(); }
+  void recordAnswer(Instant now) { last_ = now.time_since_epoch().count(); }
   /// \brief Fresh up to 12 s after an answer, stale up to 30 s, then out.
   Freshness freshness(Instant now) const;
 
--- a/Hallchute/src/Daemon/RequestHandler.cpp
+++ b/Hallchute/src/Daemon/RequestHandler.cpp
@@ -45,7 +45,7 @@
   if (const auto* refusal = std::get_if<Refusal>(&found)) return *refusal;
   const JobPtr& job = std::get<JobPtr>(found);
   if (request.getMethod() == Poco::Net::HTTPRequest::HTTP_DELETE) {
-    job->orderCancel();
+    job->requestCancel();
     response.setStatusAndReason(Poco::Net::HTTPResponse::HTTP_ACCEPTED);
     response.setContentLength(0);
     response.send();
--- a/Hallchute/src/Daemon/SettingsEditor.cpp
+++ b/Hallchute/src/Daemon/SettingsEditor.cpp
@@ -32,7 +32,7 @@
                                                                    std::size_t most) {
   const auto reply = platform_.list(kChangePrefix, changeKey(after), most);
   if (const auto* refused = std::get_if<Refused>(&reply)) return *refused;
-  if (const auto* unknown = std::get_if<NotKnown>(&reply)) return *unknown;
+  if (const auto* unknown = std::get_if<OutcomeUnknown>(&reply)) return *unknown;
   std::vector<SettingsChange> changes;
   for (const StoredObject& object : std::get<Done<ObjectList>>(reply).value.objects) {
     Findings findings;
@@ -47,9 +47,9 @@
 }
 
 std::variant<std::uint64_t, ProposalUnavailable> SettingsEditor::catchUp(JsonObject& json) {
-  const auto inForce = settings_.get();
-  std::uint64_t revision = inForce->revision;
-  json = inForce->json ? inForce->json : JsonObject(new Poco::JSON::Object);
+  const auto activeSettings = settings_.get();
+  std::uint64_t revision = activeSettings->revision;
+  json = activeSettings->json ? activeSettings->json : JsonObject(new Poco::JSON::Object);
   for (;;) {
     const auto reply = history(revision, kPage);
     const auto* done = std::get_if<Done<std::vector<SettingsChange>>>(&reply);
@@ -98,7 +98,7 @@
   const std::string key = changeKey(change.number);
   bool maybeWritten = false;
   for (int attempt = 0; attempt < kMaxTries; ++attempt) {
-    const auto reply = platform_.write(key, changeText(change), 0);
+    const auto reply = platform_.write(key, serializeChange(change), 0);
     if (std::holds_alternative<Done<std::uint64_t>>(reply)) {
       learn_(change);
       return ProposalAccepted{change};
--- a/Hallchute/src/Daemon/SettingsStore.h
+++ b/Hallchute/src/Daemon/SettingsStore.h
@@ -16,18 +16,18 @@
 /// \ingroup Daemon
 class SettingsStore {
  public:
-  std::shared_ptr<const SettingsInForce> get() const {
+  std::shared_ptr<const ActiveSettings> get() const {
     const std::lock_guard lock(mutex_);
     return inForce_;
   }
-  void set(std::shared_ptr<const SettingsInForce> inForce) {
+  void set(std::shared_ptr<const ActiveSettings> activeSettings) {
     const std::lock_guard lock(mutex_);
-    inForce_ = std::move(inForce);
+    inForce_ = std::move(activeSettings);
   }
 
  private:
   mutable std::mutex mutex_;
-  std::shared_ptr<const SettingsInForce> inForce_ = std::make_shared<SettingsInForce>();
+  std::shared_ptr<const ActiveSettings> inForce_ = std::make_shared<ActiveSettings>();
 };
 
 }  // namespace Hallchute
--- a/Hallchute/src/Daemon/ShardOwners.cpp
+++ b/Hallchute/src/Daemon/ShardOwners.cpp
@@ -25,10 +25,10 @@
 ShardOwners::~ShardOwners() = default;
 
 ShardPolicy ShardOwners::policyOf(const ShardKey& shard) const {
-  const auto inForce = settings_.get();
+  const auto activeSettings = settings_.get();
   const PolicyScope scope{shard.domain, shard.service, OrganisationName()};
   const auto number = [&](PolicyKey key) {
-    return static_cast<std::size_t>(inForce->tree.policy(key, scope));
+    return static_cast<std::size_t>(activeSettings->tree.policy(key, scope));
   };
   ShardPolicy policy;
   policy.maxQueue = number(PolicyKey::maxQueue);
@@ -41,7 +41,7 @@
   policy.aging = Millis(number(PolicyKey::agingMs));
   policy.choice =
       PrefixAffinity{static_cast<double>(number(PolicyKey::loadBoundPercent)) / kPercent};
-  if (shard.index == kAlone) {
+  if (shard.index == kFallbackIndex) {
     policy.maxInFlightPerUpstream = std::max<std::size_t>(
         1, policy.maxInFlightPerUpstream / std::max<std::size_t>(1, sharers_));
   }
@@ -50,7 +50,7 @@
 
 std::vector<UpstreamId> ShardOwners::upstreamsOf(const ShardKey& shard) const {
   std::vector<UpstreamId> live = directory_.live(shard.service, shard.domain);
-  if (shard.index == kAlone) return live;
+  if (shard.index == kFallbackIndex) return live;
   const std::uint32_t count = shardCount(live.size());
   std::erase_if(live, [&](const UpstreamId& id) { return shardOf(id, count) != shard.index; });
   return live;
--- a/Hallchute/src/Daemon/ShardOwners.h
+++ b/Hallchute/src/Daemon/ShardOwners.h
@@ -28,7 +28,7 @@
 
   /// \brief The index of the shard of all upstreams of a domain on which a daemon decides alone
   /// while no owner answers.
-  static constexpr std::uint32_t kAlone = UINT32_MAX;
+  static constexpr std::uint32_t kFallbackIndex = UINT32_MAX;
 
   ShardOwners(const SettingsStore& settings, const UpstreamDirectory& directory);
   ~ShardOwners();
@@ -45,7 +45,7 @@
   void refresh(Instant now);
   void tick(Instant now);
   /// \brief Daemons that share a domain's upstreams, for the share of one that decides alone.
-  void setSharers(std::size_t sharers) { sharers_ = sharers; }
+  void setDaemonCount(std::size_t sharers) { sharers_ = sharers; }
 
   struct Load {
     ShardKey shard;
--- a/Hallchute/src/Daemon/StartupFile.cpp
+++ b/Hallchute/src/Daemon/StartupFile.cpp
@@ -36,24 +36,25 @@
     if (!root.has(section)) root.report(section, "is missing");
   }
   root.object("callers", [&](JsonReader& reader) {
-    file.callerListen = addressMember(reader, "listen", true);
-    file.maxCallers = static_cast<int>(reader.integer("maxConnections", 1, kMaxCallers, 512));
+    file.callerListen = readAddress(reader, "listen", true);
+    file.maxCallerConnections =
+        static_cast<int>(reader.integer("maxConnections", 1, kMaxCallers, 512));
   });
   root.object("operators", [&](JsonReader& reader) {
-    file.operatorListen = addressMember(reader, "listen", true);
+    file.operatorListen = readAddress(reader, "listen", true);
     file.operatorToken = reader.text("token", true);
   });
   root.object("peers", [&](JsonReader& reader) {
-    file.peerListen = addressMember(reader, "listen", true);
-    file.peerAdvertise = addressMember(reader, "advertise", false);
+    file.peerListen = readAddress(reader, "listen", true);
+    file.peerAdvertise = readAddress(reader, "advertise", false);
     if (file.peerAdvertise.empty()) file.peerAdvertise = file.peerListen;
     file.peerSecret = reader.text("secret", true);
-    file.seeds = reader.texts("seeds");
+    file.seeds = reader.stringList("seeds");
   });
   root.object("platform", [&](JsonReader& reader) {
-    file.platformAddress = addressMember(reader, "address", true);
+    file.platformAddress = readAddress(reader, "address", true);
     file.platformToken = reader.text("token", true);
-    file.platformLimit = Millis(reader.integer("limitMs", kLeastLimitMs, kMostLimitMs, 1'000));
+    file.platformTimeout = Millis(reader.integer("limitMs", kLeastLimitMs, kMostLimitMs, 1'000));
   });
   root.finish();
   return file;
--- a/Hallchute/src/Daemon/StartupFile.h
+++ b/Hallchute/src/Daemon/StartupFile.h
@@ -22,7 +22,7 @@
   DomainName domain;
   /// Where callers connect, `ip:port`.
   std::string callerListen;
-  int maxCallers = 512;
+  int maxCallerConnections = 512;
   std::string operatorListen;
   std::string operatorToken;
   std::string peerListen;
@@ -32,7 +32,7 @@
   std::vector<std::string> seeds;
   std::string platformAddress;
   std::string platformToken;
-  Millis platformLimit{1'000};
+  Millis platformTimeout{1'000};
   std::string logLevel = "info";
 
   /// \brief The own IP: outgoing connections leave from it.
--- a/Hallchute/src/Front/FrontConnection.cpp
+++ b/Hallchute/src/Front/FrontConnection.cpp
@@ -34,7 +34,7 @@
 FrontConnection::FrontConnection(FrontServer& server, std::uint64_t id,
                                  const Poco::Net::StreamSocket& socket)
     : server_(server), id_(id), channel_(server.loop(), socket, *this), reader_(freshReader()) {
-  setTimer(server_.limits().idleTime, kNoAnswer);
+  setTimer(server_.limits().idleTimeout, kNoAnswer);
 }
 
 FrontConnection::~FrontConnection() {
@@ -43,7 +43,7 @@
 
 HttpReader FrontConnection::freshReader() const {
   const FrontLimits& limits = server_.limits();
-  return {HttpSide::requests, {limits.headBytes, limits.bodyBytes}};
+  return {HttpMessageType::requests, {limits.headBytes, limits.bodyBytes}};
 }
 
 void FrontConnection::stopTimer() {
@@ -73,7 +73,7 @@
   server_.remove(id_);
 }
 
-void FrontConnection::channelBytes(std::string_view bytes) {
+void FrontConnection::onChannelBytes(std::string_view bytes) {
   if (phase_ == Phase::closing) return;
   in_.append(bytes);
   if (phase_ != Phase::answering) {
@@ -83,7 +83,7 @@
   }
 }
 
-void FrontConnection::channelEnded(ChannelEnd) {
+void FrontConnection::onChannelEnded(ChannelEnd) {
   tellCallerLeft();
   remove();
 }
@@ -95,7 +95,7 @@
   while (!in_.empty() && (phase_ == Phase::idle || phase_ == Phase::reading)) {
     if (phase_ == Phase::idle) {
       phase_ = Phase::reading;
-      setTimer(server_.limits().headTime, kRequestTimeout);
+      setTimer(server_.limits().headTimeout, kRequestTimeout);
     }
     const HttpProgress progress = reader_.read(in_);
     noteProgress(progress);
@@ -108,7 +108,7 @@
   switch (progress) {
     case HttpProgress::needsMore:
       if (!reader_.hasHead()) return;
-      setTimer(server_.limits().headTime, kRequestTimeout);
+      setTimer(server_.limits().headTimeout, kRequestTimeout);
       if (!continueSent_ && reader_.head().fields.hasToken("Expect", "100-continue")) {
         continueSent_ = true;
         channel_.send(kContinue);
@@ -154,14 +154,14 @@
   return reusable_ && !server_.draining() ? AfterAnswer::keep : AfterAnswer::close;
 }
 
-void FrontConnection::answer(int status, const HttpFields& fields, std::string_view body) {
+void FrontConnection::respond(int status, const HttpFields& fields, std::string_view body) {
   const AfterAnswer after = afterAnswer();
   reusable_ = after == AfterAnswer::keep;
   channel_.send(answerBytes(status, fields, body, after, !headRequest_));
   answerEnded();
 }
 
-void FrontConnection::startPieces(int status, const HttpFields& fields) {
+void FrontConnection::startStream(int status, const HttpFields& fields) {
   // A caller of HTTP/1.0 knows no chunks: the end of the connection ends its answer.
   const AfterAnswer after = chunked_ ? afterAnswer() : AfterAnswer::close;
   reusable_ = after == AfterAnswer::keep;
@@ -175,7 +175,7 @@
   channel_.send(head);
 }
 
-void FrontConnection::sendPiece(std::string_view bytes) {
+void FrontConnection::sendStreamData(std::string_view bytes) {
   if (bytes.empty()) return;
   channel_.send(chunked_ ? chunkBytes(bytes) : std::string(bytes));
   if (channel_.unsent() <= kMostUnsent) return;
@@ -194,15 +194,15 @@
   const auto exchange = std::exchange(exchange_, nullptr);
   if (exchange == nullptr) return;
   exchange->connection_ = nullptr;
-  if (exchange->onCallerLeft) exchange->onCallerLeft();
+  if (exchange->onCallerDisconnected) exchange->onCallerDisconnected();
 }
 
-void FrontConnection::endPieces() {
+void FrontConnection::endStream() {
   if (chunked_) channel_.send(kLastChunk);
   answerEnded();
 }
 
-void FrontConnection::breakOff() {
+void FrontConnection::abortResponse() {
   exchange_ = nullptr;
   reusable_ = false;
   // Without its last chunk an answer is seen to be incomplete, and what was sent still arrives.
@@ -224,7 +224,7 @@
   phase_ = Phase::idle;
   continueSent_ = false;
   reader_ = freshReader();
-  setTimer(server_.limits().idleTime, kNoAnswer);
+  setTimer(server_.limits().idleTimeout, kNoAnswer);
   readRequests();
 }
 
--- a/Hallchute/src/Front/FrontConnection.h
+++ b/Hallchute/src/Front/FrontConnection.h
@@ -32,14 +32,14 @@
   bool busy() const { return exchange_ != nullptr; }
 
   // For FrontExchange.
-  void answer(int status, const HttpFields& fields, std::string_view body);
-  void startPieces(int status, const HttpFields& fields);
-  void sendPiece(std::string_view bytes);
-  void endPieces();
-  void breakOff();
+  void respond(int status, const HttpFields& fields, std::string_view body);
+  void startStream(int status, const HttpFields& fields);
+  void sendStreamData(std::string_view bytes);
+  void endStream();
+  void abortResponse();
 
-  void channelBytes(std::string_view bytes) override;
-  void channelEnded(ChannelEnd end) override;
+  void onChannelBytes(std::string_view bytes) override;
+  void onChannelEnded(ChannelEnd end) override;
 
  private:
   enum class Phase { idle, reading, answering, closing };
--- a/Hallchute/src/Front/FrontExchange.cpp
+++ b/Hallchute/src/Front/FrontExchange.cpp
@@ -10,28 +10,31 @@
 namespace Hallchute {
 
 FrontExchange::FrontExchange(FrontConnection& connection, HttpHead head, std::string body,
-                             Instant arrived)
-    : head_(std::move(head)), body_(std::move(body)), arrived_(arrived), connection_(&connection) {}
+                             Instant receivedAt)
+    : head_(std::move(head)),
+      body_(std::move(body)),
+      receivedAt_(receivedAt),
+      connection_(&connection) {}
 
-void FrontExchange::answer(int status, const HttpFields& fields, std::string_view body) {
+void FrontExchange::respond(int status, const HttpFields& fields, std::string_view body) {
   if (connection_ == nullptr) return;
-  std::exchange(connection_, nullptr)->answer(status, fields, body);
+  std::exchange(connection_, nullptr)->respond(status, fields, body);
 }
 
-void FrontExchange::startPieces(int status, const HttpFields& fields) {
-  if (connection_ != nullptr) connection_->startPieces(status, fields);
+void FrontExchange::startStream(int status, const HttpFields& fields) {
+  if (connection_ != nullptr) connection_->startStream(status, fields);
 }
 
-void FrontExchange::sendPiece(std::string_view bytes) {
-  if (connection_ != nullptr) connection_->sendPiece(bytes);
+void FrontExchange::sendStreamData(std::string_view bytes) {
+  if (connection_ != nullptr) connection_->sendStreamData(bytes);
 }
 
-void FrontExchange::endPieces() {
-  if (connection_ != nullptr) std::exchange(connection_, nullptr)->endPieces();
+void FrontExchange::endStream() {
+  if (connection_ != nullptr) std::exchange(connection_, nullptr)->endStream();
 }
 
-void FrontExchange::breakOff() {
-  if (connection_ != nullptr) std::exchange(connection_, nullptr)->breakOff();
+void FrontExchange::abortResponse() {
+  if (connection_ != nullptr) std::exchange(connection_, nullptr)->abortResponse();
 }
 
 }  // namespace Hallchute
--- a/Hallchute/src/Front/FrontExchange.h
+++ b/Hallchute/src/Front/FrontExchange.h
@@ -21,35 +21,35 @@
 /// After the caller left, everything sent here goes nowhere.
 class FrontExchange {
  public:
-  FrontExchange(FrontConnection& connection, HttpHead head, std::string body, Instant arrived);
+  FrontExchange(FrontConnection& connection, HttpHead head, std::string body, Instant receivedAt);
   FrontExchange(const FrontExchange&) = delete;
   FrontExchange& operator=(const FrontExchange&) = delete;
 
   const HttpHead& head() const { return head_; }
   const std::string& body() const { return body_; }
   /// \brief When the request was whole.
-  Instant arrived() const { return arrived_; }
+  Instant receivedAt() const { return receivedAt_; }
 
   /// \brief Sends the whole answer.
-  void answer(int status, const HttpFields& fields, std::string_view body);
+  void respond(int status, const HttpFields& fields, std::string_view body);
   /// \brief Sends the head of an answer whose body comes in pieces.
-  void startPieces(int status, const HttpFields& fields);
-  void sendPiece(std::string_view bytes);
+  void startStream(int status, const HttpFields& fields);
+  void sendStreamData(std::string_view bytes);
   /// \brief Ends the answer as complete.
-  void endPieces();
+  void endStream();
   /// \brief Ends the connection so that the answer can't be taken for complete.
-  void breakOff();
+  void abortResponse();
 
-  bool callerLeft() const { return connection_ == nullptr; }
+  bool callerDisconnected() const { return connection_ == nullptr; }
   /// \brief Called at once when the caller closes its connection before the answer ended.
-  std::function<void()> onCallerLeft;
+  std::function<void()> onCallerDisconnected;
 
  private:
   friend class FrontConnection;
 
   HttpHead head_;
   std::string body_;
-  Instant arrived_;
+  Instant receivedAt_;
   /// Null after the answer ended or the caller left.
   FrontConnection* connection_;
 };
--- a/Hallchute/src/Front/FrontLimits.h
+++ b/Hallchute/src/Front/FrontLimits.h
@@ -19,9 +19,9 @@
   std::uint32_t headBytes = 16U << 10U;
   std::uint64_t bodyBytes = 4U << 20U;
   /// From the first byte of a head to its end, and between two parts of a body.
-  Millis headTime{3'000};
+  Millis headTimeout{3'000};
   /// How long a connection may rest between requests.
-  Millis idleTime{15'000};
+  Millis idleTimeout{15'000};
   /// Connections at the same time; from the process's limit on descriptors.
   std::size_t connections = 2'048;
   bool operator==(const FrontLimits&) const = default;
--- a/Hallchute/src/Http/HttpReader.cpp
+++ b/Hallchute/src/Http/HttpReader.cpp
@@ -49,7 +49,7 @@
   void on_header_impl(Error& error) override {
     error = {};
     head.keepAlive = this->keep_alive();
-    head.endsWithConnection = !isRequest && this->need_eof();
+    head.bodyEndsAtClose = !isRequest && this->need_eof();
     // The parser lets other codings pass: their bodies would have no sure end.
     const bool coded = head.fields.has("Transfer-Encoding");
     const bool twoLengths = coded && head.fields.has("Content-Length");
@@ -89,8 +89,8 @@
     return std::visit(visitor, parser_);
   }
 
-  Parser(HttpSide side, HttpReaderLimits limits) {
-    if (side == HttpSide::answers) parser_.emplace<Collector<false>>();
+  Parser(HttpMessageType side, HttpReaderLimits limits) {
+    if (side == HttpMessageType::responses) parser_.emplace<Collector<false>>();
     visit([&](auto& parser) {
       parser.eager(true);
       parser.header_limit(limits.headBytes);
@@ -128,7 +128,7 @@
   std::variant<Collector<true>, Collector<false>> parser_;
 };
 
-HttpReader::HttpReader(HttpSide side, HttpReaderLimits limits)
+HttpReader::HttpReader(HttpMessageType side, HttpReaderLimits limits)
     : parser_(std::make_unique<Parser>(side, limits)) {}
 HttpReader::~HttpReader() = default;
 HttpReader::HttpReader(HttpReader&&) noexcept = default;
--- a/Hallchute/src/Http/HttpReader.h
+++ b/Hallchute/src/Http/HttpReader.h
@@ -28,7 +28,7 @@
   /// Whether the sender keeps the connection after this message.
   bool keepAlive = false;
   /// Whether only the end of the connection ends the body.
-  bool endsWithConnection = false;
+  bool bodyEndsAtClose = false;
 };
 
 /// \brief What a reader makes of the bytes it was given.
@@ -44,7 +44,7 @@
 
 /// \brief Which side of an exchange a reader reads.
 /// \ingroup Http
-enum class HttpSide { requests, answers };
+enum class HttpMessageType { requests, responses };
 
 /// \brief Limits of a message. \ingroup Http
 struct HttpReaderLimits {
@@ -61,7 +61,7 @@
 /// message stay with the caller.
 class HttpReader {
  public:
-  HttpReader(HttpSide side, HttpReaderLimits limits);
+  HttpReader(HttpMessageType side, HttpReaderLimits limits);
   ~HttpReader();
   HttpReader(HttpReader&&) noexcept;
   HttpReader& operator=(HttpReader&&) noexcept;
--- a/Hallchute/src/Http/TcpChannel.cpp
+++ b/Hallchute/src/Http/TcpChannel.cpp
@@ -29,7 +29,7 @@
     : loop_(loop), owner_(owner), socket_(socket), fd_(socket.impl()->sockfd()) {
   socket_.setBlocking(false);
   socket_.setNoDelay(true);
-  watchLiveness(socket_);
+  enableDeadPeerDetection(socket_);
   loop_.watch(fd_, POLLIN, [this](short events) { onEvents(events); });
 }
 
@@ -41,7 +41,7 @@
     socket_.connectNB(Poco::Net::SocketAddress(address));
     fd_ = socket_.impl()->sockfd();
     socket_.setNoDelay(true);
-    leaveLivenessToOwner(socket_);
+    disableDeadPeerDetection(socket_);
     loop_.watch(fd_, POLLOUT, [this](short events) { onEvents(events); });
     connectTimer_ = loop_.after(limit, [this] {
       connectTimer_ = 0;
@@ -63,7 +63,7 @@
 
 void TcpChannel::updateWatch() {
   const bool writing = connecting_ || !out_.empty();
-  loop_.rewatch(fd_, static_cast<short>((connecting_ ? 0 : POLLIN) | (writing ? POLLOUT : 0)));
+  loop_.setEvents(fd_, static_cast<short>((connecting_ ? 0 : POLLIN) | (writing ? POLLOUT : 0)));
 }
 
 void TcpChannel::send(std::string_view bytes) {
@@ -92,7 +92,7 @@
   return out_.size() + static_cast<std::size_t>(inKernel);
 }
 
-bool TcpChannel::quiet() const {
+bool TcpChannel::isOpenAndIdle() const {
   if (ended_ || connecting_) return false;
   char byte = 0;
   const ssize_t got = ::recv(fd_, &byte, 1, MSG_PEEK | MSG_DONTWAIT);
@@ -114,7 +114,7 @@
   ended_ = true;
   loop_.cancel(connectTimer_);
   if (fd_ >= 0) loop_.unwatch(fd_);
-  owner_.channelEnded(end);
+  owner_.onChannelEnded(end);
 }
 
 void TcpChannel::onEvents(short events) {
@@ -146,11 +146,11 @@
   static thread_local std::array<char, kReadSize> buffer;
   const ssize_t got = ::recv(fd_, buffer.data(), buffer.size(), MSG_DONTWAIT);
   if (got > 0) {
-    owner_.channelBytes({buffer.data(), static_cast<std::size_t>(got)});
+    owner_.onChannelBytes({buffer.data(), static_cast<std::size_t>(got)});
     return;
   }
   if (got == 0) {
-    fail(ChannelEnd::finished);
+    fail(ChannelEnd::peerClosed);
     return;
   }
   if (errno != EAGAIN && errno != EWOULDBLOCK && errno != EINTR) fail(ChannelEnd::broken);
--- a/Hallchute/src/Http/TcpChannel.h
+++ b/Hallchute/src/Http/TcpChannel.h
@@ -24,7 +24,7 @@
   /// It was never up: no byte left this host.
   notConnected,
   /// The other side said that it sends no more.
-  finished,
+  peerClosed,
   /// Reset, or silent for too long.
   broken,
 };
@@ -38,9 +38,9 @@
   TcpChannelOwner& operator=(const TcpChannelOwner&) = delete;
   virtual ~TcpChannelOwner() = default;
 
-  virtual void channelBytes(std::string_view bytes) = 0;
+  virtual void onChannelBytes(std::string_view bytes) = 0;
   /// \brief Called once; nothing follows it.
-  virtual void channelEnded(ChannelEnd end) = 0;
+  virtual void onChannelEnded(ChannelEnd end) = 0;
   /// \brief All bytes given to send() are with the kernel.
   virtual void channelDrained() {}
 };
@@ -76,7 +76,7 @@
   /// this one has not taken yet are all that is known where the kernel doesn't tell.
   std::size_t unacknowledged() const;
   /// \brief Whether the other side has neither closed nor sent anything, by a look at the socket.
-  bool quiet() const;
+  bool isOpenAndIdle() const;
   /// \brief Ends the connection at once with a reset; no callback follows. Bytes that a cut holds
   /// up are dropped: after a plain close the kernel would deliver them when the cut has healed.
   void abort();
--- a/Hallchute/src/Net/AddressMember.cpp
+++ b/Hallchute/src/Net/AddressMember.cpp
@@ -9,7 +9,7 @@
 
 namespace Hallchute {
 
-std::string addressMember(JsonReader& reader, const std::string& name, bool required) {
+std::string readAddress(JsonReader& reader, const std::string& name, bool required) {
   std::string text = reader.text(name, required);
   if (text.empty()) return text;
   try {
--- a/Hallchute/src/Net/AddressMember.h
+++ b/Hallchute/src/Net/AddressMember.h
@@ -12,7 +12,7 @@
 
 /// \brief Reads a member that holds `ip:port`; a finding if it is something else, or absent though
 /// \p required. \ingroup Net
-std::string addressMember(JsonReader& reader, const std::string& name, bool required);
+std::string readAddress(JsonReader& reader, const std::string& name, bool required);
 
 }  // namespace Hallchute
 
--- a/Hallchute/src/Net/EventLoop.cpp
+++ b/Hallchute/src/Net/EventLoop.cpp
@@ -104,7 +104,7 @@
   epoll_ctl(pollFd_, known ? EPOLL_CTL_MOD : EPOLL_CTL_ADD, socket, &event);
 }
 
-void EventLoop::rewatch(int socket, short events) {
+void EventLoop::setEvents(int socket, short events) {
   const auto it = sockets_.find(socket);
   if (it == sockets_.end() || it->second.events == events) return;
   it->second.events = events;
--- a/Hallchute/src/Net/EventLoop.h
+++ b/Hallchute/src/Net/EventLoop.h
@@ -47,7 +47,7 @@
   /// \brief Watches a socket for \p events; a second call changes them.
   void watch(int socket, short events, SocketTask task);
   /// \brief Changes what a watched socket waits for.
-  void rewatch(int socket, short events);
+  void setEvents(int socket, short events);
   void unwatch(int socket);
   /// \brief Runs \p task every \p period.
   void every(Millis period, Task task);
--- a/Hallchute/src/Net/HttpExchange.cpp
+++ b/Hallchute/src/Net/HttpExchange.cpp
@@ -56,7 +56,7 @@
 
 }  // namespace
 
-std::string HttpAnswer::header(std::string_view name) const {
+std::string HttpResponse::header(std::string_view name) const {
   for (const auto& [key, value] : headers) {
     if (Poco::icompare(key, std::string(name)) == 0) return value;
   }
@@ -66,7 +66,7 @@
 HttpExchange::HttpExchange(HttpRoute route) : route_(std::move(route)) {}
 HttpExchange::~HttpExchange() = default;
 
-HttpResult HttpExchange::open(const HttpCall& call) {
+HttpResult HttpExchange::open(const HttpRequest& call) {
   try {
     session_ = std::make_unique<Poco::Net::HTTPClientSession>(connect(route_));
   } catch (const Poco::Exception& e) {
@@ -84,7 +84,7 @@
     session_->sendRequest(request) << call.body << std::flush;
     response_ = std::make_unique<Poco::Net::HTTPResponse>();
     body_ = &session_->receiveResponse(*response_);
-    HttpAnswer answer;
+    HttpResponse answer;
     answer.status = response_->getStatus();
     answer.contentType = response_->getContentType();
     for (const auto& [name, value] : *response_) answer.headers.emplace_back(name, value);
@@ -96,9 +96,9 @@
   }
 }
 
-HttpResult HttpExchange::run(const HttpCall& call) {
+HttpResult HttpExchange::run(const HttpRequest& call) {
   HttpResult result = open(call);
-  auto* answer = std::get_if<HttpAnswer>(&result);
+  auto* answer = std::get_if<HttpResponse>(&result);
   if (answer == nullptr) return result;
   const bool empty = call.method == HTTPRequest::HTTP_HEAD || answer->status == 204;
   if (empty) return result;
--- a/Hallchute/src/Net/HttpExchange.h
+++ b/Hallchute/src/Net/HttpExchange.h
@@ -24,7 +24,7 @@
 
 /// \brief An HTTP request to be sent once.
 /// \ingroup Net
-struct HttpCall {
+struct HttpRequest {
   std::string method = "GET";
   std::string target;
   std::string contentType;
@@ -34,7 +34,7 @@
 
 /// \brief A whole answer: its body has the length that its header gave.
 /// \ingroup Net
-struct HttpAnswer {
+struct HttpResponse {
   int status = 0;
   std::string contentType;
   std::string body;
@@ -55,11 +55,11 @@
 struct HttpMaybeSent {
   std::string detail;
   /// Whether the other side fell silent, rather than closed the connection.
-  bool silent = false;
+  bool timedOut = false;
 };
 
 /// \ingroup Net
-using HttpResult = std::variant<HttpAnswer, HttpNeverSent, HttpMaybeSent>;
+using HttpResult = std::variant<HttpResponse, HttpNeverSent, HttpMaybeSent>;
 
 /// \brief Where to, from which address, and for how long.
 /// \ingroup Net
@@ -86,10 +86,10 @@
   HttpExchange& operator=(const HttpExchange&) = delete;
 
   /// \brief Sends \p call and reads the whole answer.
-  HttpResult run(const HttpCall& call);
+  HttpResult run(const HttpRequest& call);
   /// \brief Sends \p call and reads the head of the answer; its body is read from stream().
   /// \returns an answer with an empty body.
-  HttpResult open(const HttpCall& call);
+  HttpResult open(const HttpRequest& call);
   /// \brief The body after open(). Ends with an error state when the route's answerLimit passes.
   std::istream& stream() { return *body_; }
 
--- a/Hallchute/src/Net/PeerConnection.cpp
+++ b/Hallchute/src/Net/PeerConnection.cpp
@@ -26,7 +26,7 @@
     : transport_(transport), id_(id), socket_(socket), session_(role, transport.secret_, events()) {
   socket_.setBlocking(false);
   socket_.setNoDelay(true);
-  watchLiveness(socket_);
+  enableDeadPeerDetection(socket_);
   transport_.loop_.watch(socket_.impl()->sockfd(), POLLIN,
                          [&transport = transport_, id = id_](short ready) {
                            if (PeerConnection* connection = transport.find(id)) {
@@ -151,7 +151,7 @@
 
 void PeerConnection::updateWatch() {
   const auto events = static_cast<short>(output_.empty() ? POLLIN : POLLIN | POLLOUT);
-  transport_.loop_.rewatch(socket_.impl()->sockfd(), events);
+  transport_.loop_.setEvents(socket_.impl()->sockfd(), events);
 }
 
 void PeerConnection::onReady(short events) {
--- a/Hallchute/src/Net/PeerMessages.h
+++ b/Hallchute/src/Net/PeerMessages.h
@@ -27,7 +27,7 @@
 namespace PeerPath {
 inline constexpr std::string_view kProbe = "/probe";
 inline constexpr std::string_view kGrant = "/grant";
-inline constexpr std::string_view kHold = "/hold";
+inline constexpr std::string_view kReregisterGrant = "/hold";
 inline constexpr std::string_view kSettings = "/settings";
 inline constexpr std::string_view kHosts = "/hosts";
 inline constexpr std::string_view kHandOver = "/handover";
@@ -43,24 +43,24 @@
 };
 
 /// \brief How an owner's word on a grant stream reads. \ingroup Net
-enum class GrantWord : std::uint8_t { queued, granted, refused };
+enum class GrantReplyKind : std::uint8_t { queued, granted, refused };
 
 /// \ingroup Net
 struct GrantReplyMessage {
-  GrantWord word = GrantWord::queued;
+  GrantReplyKind kind = GrantReplyKind::queued;
   UpstreamId upstream;
   Refusal refusal;
 };
 
 /// \brief The daemon's word on work it was granted: its first token came, or it ended.
 /// \ingroup Net
-struct GrantNoteMessage {
+struct GrantProgressMessage {
   bool ended = false;
   GrantEnd end = GrantEnd::cancelled;
 };
 
 /// \brief Opens a stream that holds a grant made by an earlier owner. \ingroup Net
-struct HoldMessage {
+struct ReregisterGrantMessage {
   ShardKey shard;
   ExistingGrant held;
 };
@@ -95,7 +95,7 @@
 
 /// \ingroup Net
 struct HandOverReplyMessage {
-  bool taken = false;
+  bool accepted = false;
 };
 
 /// \brief Asks for an answer from a token on. \ingroup Net
@@ -132,12 +132,12 @@
   return std::tie(m.shard, m.wanted, m.remaining);
 }
 inline auto wireFields(GrantReplyMessage& m) {
-  return std::tie(m.word, m.upstream, m.refusal);
+  return std::tie(m.kind, m.upstream, m.refusal);
 }
-inline auto wireFields(GrantNoteMessage& m) {
+inline auto wireFields(GrantProgressMessage& m) {
   return std::tie(m.ended, m.end);
 }
-inline auto wireFields(HoldMessage& m) {
+inline auto wireFields(ReregisterGrantMessage& m) {
   return std::tie(m.shard, m.held);
 }
 inline auto wireFields(MemberStatus& m) {
@@ -169,7 +169,7 @@
   return std::tie(m.record);
 }
 inline auto wireFields(HandOverReplyMessage& m) {
-  return std::tie(m.taken);
+  return std::tie(m.accepted);
 }
 inline auto wireFields(AttachMessage& m) {
   return std::tie(m.request, m.organisation, m.offset);
--- a/Hallchute/src/Net/PeerSession.cpp
+++ b/Hallchute/src/Net/PeerSession.cpp
@@ -186,7 +186,7 @@
     for (std::size_t i = 0; i < kLengthBytes; ++i) {
       size = (size << 8U) | static_cast<unsigned char>(stream.in[i]);
     }
-    if (size > kMaxMessage) {
+    if (size > kMaxMessageBytes) {
       reset(id);
       return;
     }
--- a/Hallchute/src/Net/PeerSession.h
+++ b/Hallchute/src/Net/PeerSession.h
@@ -22,7 +22,7 @@
 /// whose secret is wrong, is reset. Loop thread only.
 class PeerSession {
  public:
-  static constexpr std::size_t kMaxMessage = 8U << 20U;
+  static constexpr std::size_t kMaxMessageBytes = 8U << 20U;
 
   /// \brief What happens on the session's streams.
   struct Events {
--- a/Hallchute/src/Net/SocketLiveness.cpp
+++ b/Hallchute/src/Net/SocketLiveness.cpp
@@ -27,7 +27,7 @@
 
 }  // namespace
 
-void watchLiveness(Poco::Net::Socket& socket) {
+void enableDeadPeerDetection(Poco::Net::Socket& socket) {
   const int fd = socket.impl()->sockfd();
   setOption(fd, SOL_SOCKET, SO_KEEPALIVE, 1);
   setOption(fd, IPPROTO_TCP, TCP_KEEPIDLE, kProbeAfterSeconds);
@@ -36,7 +36,7 @@
   setOption(fd, IPPROTO_TCP, TCP_USER_TIMEOUT, kUnacknowledgedMs);
 }
 
-void leaveLivenessToOwner(Poco::Net::Socket& socket) {
+void disableDeadPeerDetection(Poco::Net::Socket& socket) {
   const int fd = socket.impl()->sockfd();
   setOption(fd, SOL_SOCKET, SO_KEEPALIVE, 0);
   setOption(fd, IPPROTO_TCP, TCP_USER_TIMEOUT, kUnacknowledgedOwnedMs);
--- a/Hallchute/src/Net/SocketLiveness.h
+++ b/Hallchute/src/Net/SocketLiveness.h
@@ -15,13 +15,13 @@
 ///
 /// Without it a connection through a cut hangs for minutes. An idle connection is probed after a
 /// second; sent bytes that stay unacknowledged for 2.5 s end it.
-void watchLiveness(Poco::Net::Socket& socket);
+void enableDeadPeerDetection(Poco::Net::Socket& socket);
 
 /// \brief Leaves the end of a connection to its owner, who resets it. \ingroup Net
 ///
 /// Where the kernel gives up by itself nothing is left to reset, and bytes that a cut holds up may
 /// still arrive when the cut has healed.
-void leaveLivenessToOwner(Poco::Net::Socket& socket);
+void disableDeadPeerDetection(Poco::Net::Socket& socket);
 
 }  // namespace Hallchute
 
--- a/Hallchute/src/Node/DutyRunner.cpp
+++ b/Hallchute/src/Node/DutyRunner.cpp
@@ -98,7 +98,7 @@
 }
 
 bool DutyRunner::readEarlierSize() {
-  const absl::StatusOr<StoredDutyRecord> stored = port_.read(ReadAge::maybeOld);
+  const absl::StatusOr<StoredDutyRecord> stored = port_.read(ReadConsistency::possiblyStale);
   if (stored.ok()) callbacks_.onEarlierSize(stored->record.daemons);
   const bool answered = stored.ok() || absl::IsNotFound(stored.status());
   LogLine(LogLevel::info, "fleet.earlierSize")
@@ -146,7 +146,7 @@
 }
 
 void DutyRunner::perform(const DutySteps::Read&, const DutyInput&) {
-  const absl::StatusOr<StoredDutyRecord> stored = port_.read(ReadAge::newest);
+  const absl::StatusOr<StoredDutyRecord> stored = port_.read(ReadConsistency::latest);
   if (stored.ok()) {
     keeper_.noteRead(*stored, clockNow());
   } else {
--- a/Hallchute/src/Node/NodeStartup.cpp
+++ b/Hallchute/src/Node/NodeStartup.cpp
@@ -51,14 +51,14 @@
 }
 
 void readListen(JsonReader& reader, NodeStartup& startup) {
-  startup.callerListen = addressMember(reader, "callers", true);
-  startup.readinessListen = addressMember(reader, "readiness", true);
-  startup.peerListen = addressMember(reader, "peers", true);
-  startup.metricsListen = addressMember(reader, "metrics", false);
+  startup.callerListen = readAddress(reader, "callers", true);
+  startup.readinessListen = readAddress(reader, "readiness", true);
+  startup.peerListen = readAddress(reader, "peers", true);
+  startup.metricsListen = readAddress(reader, "metrics", false);
 }
 
 void readDuties(JsonReader& reader, NodeStartup& startup) {
-  startup.dutyAddress = addressMember(reader, "address", false);
+  startup.dutyAddress = readAddress(reader, "address", false);
   startup.reportsUsage = reader.boolean("usage", false);
   startup.ordersReplicas = reader.boolean("replicas", false);
 }
@@ -74,10 +74,11 @@
   startup.domain = DomainName(root.text("failureDomain", true));
   startup.ownIp = root.text("ip", true);
   startup.logLevel = root.oneOf("logLevel", kLogLevels);
-  startup.seeds = root.texts("seeds");
+  startup.seeds = root.stringList("seeds");
   const double processors = root.number("processors", 0, kMaxProcessors, 1);
   startup.capacity = static_cast<std::uint32_t>(processors * 1'000);
-  for (const std::string& name : root.texts("failureDomains")) startup.domains.emplace_back(name);
+  for (const std::string& name : root.stringList("failureDomains"))
+    startup.domains.emplace_back(name);
   startup.descriptors = static_cast<std::size_t>(
       root.integer("descriptors", kMinDescriptors, kMaxDescriptors, 1'024));
   for (const char* section : {"listen", "store"}) {
@@ -85,7 +86,7 @@
   }
   root.object("listen", [&](JsonReader& reader) { readListen(reader, startup); });
   root.object("store", [&](JsonReader& reader) {
-    startup.storeAddress = addressMember(reader, "address", true);
+    startup.storeAddress = readAddress(reader, "address", true);
   });
   root.object("duties", [&](JsonReader& reader) { readDuties(reader, startup); });
   root.object("bounds", [&](JsonReader& reader) { readBounds(reader, startup.bounds); });
--- a/Hallchute/src/Node/ObjectFollower.cpp
+++ b/Hallchute/src/Node/ObjectFollower.cpp
@@ -111,13 +111,13 @@
 }
 
 bool ObjectFollower::listNewest() {
-  const bool answered = applyList(source_.list(ReadAge::newest));
+  const bool answered = applyList(source_.list(ReadConsistency::latest));
   if (answered && mode_ != FollowMode::off) current_ = true;
   return answered;
 }
 
 bool ObjectFollower::listInitial() {
-  if (!applyList(source_.list(ReadAge::maybeOld))) return false;
+  if (!applyList(source_.list(ReadConsistency::possiblyStale))) return false;
   initialListPending_ = false;
   waitFor(timing_.initialWatchDelay);
   return true;
--- a/Hallchute/src/Node/PageHandlers.h
+++ b/Hallchute/src/Node/PageHandlers.h
@@ -18,7 +18,7 @@
  public:
   explicit ReadinessHandler(std::function<bool()> ready) : ready_(std::move(ready)) {}
   void handle(const std::shared_ptr<FrontExchange>& exchange) override {
-    exchange->answer(ready_() ? 200 : 503, {}, "");
+    exchange->respond(ready_() ? 200 : 503, {}, "");
   }
 
  private:
@@ -32,7 +32,7 @@
   void handle(const std::shared_ptr<FrontExchange>& exchange) override {
     HttpFields fields;
     fields.add("Content-Type", "text/plain; version=0.0.4");
-    exchange->answer(200, fields, metrics_.page());
+    exchange->respond(200, fields, metrics_.page());
   }
 
  private:
--- a/Hallchute/src/Platform/PlatformBreaker.cpp
+++ b/Hallchute/src/Platform/PlatformBreaker.cpp
@@ -13,8 +13,8 @@
   if (const auto* refused = std::get_if<Refused>(&reply)) {
     return refused->reason == PlatformRefusal::unavailable;
   }
-  const auto* unknown = std::get_if<NotKnown>(&reply);
-  return unknown != nullptr && unknown->silent;
+  const auto* unknown = std::get_if<OutcomeUnknown>(&reply);
+  return unknown != nullptr && unknown->timedOut;
 }
 
 }  // namespace
--- a/Hallchute/src/Platform/PlatformHttp.cpp
+++ b/Hallchute/src/Platform/PlatformHttp.cpp
@@ -26,7 +26,7 @@
 }
 
 template <typename T>
-PlatformReply<T> refusalOf(const HttpAnswer& answer, Effect effect) {
+PlatformReply<T> refusalOf(const HttpResponse& answer, Effect effect) {
   switch (answer.status) {
     case 404:
       return Refused{PlatformRefusal::absent, "no such object"};
@@ -38,23 +38,23 @@
       break;
   }
   const std::string detail = "status " + std::to_string(answer.status);
-  if (answer.status >= 500 && effect == Effect::possible) return NotKnown{detail};
+  if (answer.status >= 500 && effect == Effect::possible) return OutcomeUnknown{detail};
   return Refused{PlatformRefusal::rejected, detail};
 }
 
 /// Runs one call. \p parse turns the body of a 200 into the value, or gives nothing.
 template <typename T, typename Parse>
-PlatformReply<T> perform(const HttpRoute& route, const HttpCall& call, Effect effect,
+PlatformReply<T> perform(const HttpRoute& route, const HttpRequest& call, Effect effect,
                          const Parse& parse) {
   HttpExchange exchange(route);
   const HttpResult result = exchange.run(call);
-  return std::visit(Overloaded{[&](const HttpAnswer& answer) -> PlatformReply<T> {
+  return std::visit(Overloaded{[&](const HttpResponse& answer) -> PlatformReply<T> {
                                  if (answer.status != 200) return refusalOf<T>(answer, effect);
                                  Findings findings;
                                  const JsonObject json = parseJsonObject(answer.body, findings);
                                  if (json) return Done<T>{parse(json)};
                                  if (effect == Effect::possible)
-                                   return NotKnown{"unreadable answer"};
+                                   return OutcomeUnknown{"unreadable answer"};
                                  return Refused{PlatformRefusal::rejected, "unreadable answer"};
                                },
                                [&](const HttpNeverSent& never) -> PlatformReply<T> {
@@ -62,7 +62,7 @@
                                },
                                [&](const HttpMaybeSent& maybe) -> PlatformReply<T> {
                                  if (effect == Effect::possible)
-                                   return NotKnown{maybe.detail, maybe.silent};
+                                   return OutcomeUnknown{maybe.detail, maybe.timedOut};
                                  return Refused{PlatformRefusal::unavailable, maybe.detail};
                                }},
                     result);
@@ -100,8 +100,8 @@
   return {address_, source_, limit_, limit_ + extraWait};
 }
 
-HttpCall PlatformHttp::makeCall(std::string method, std::string target) const {
-  HttpCall call;
+HttpRequest PlatformHttp::makeCall(std::string method, std::string target) const {
+  HttpRequest call;
   call.method = std::move(method);
   call.target = std::move(target);
   call.headers.emplace_back("Authorization", "Bearer " + token_);
@@ -115,21 +115,21 @@
 
 PlatformReply<std::uint64_t> PlatformHttp::write(std::string_view key, std::string_view value,
                                                  std::uint64_t ifVersion) {
-  HttpCall call = makeCall("PUT", objectTarget(key) + "?ifVersion=" + std::to_string(ifVersion));
+  HttpRequest call = makeCall("PUT", objectTarget(key) + "?ifVersion=" + std::to_string(ifVersion));
   call.body = value;
   call.contentType = "application/octet-stream";
   return perform<std::uint64_t>(route(Millis(0)), call, Effect::possible, versionOf);
 }
 
 PlatformReply<std::uint64_t> PlatformHttp::remove(std::string_view key, std::uint64_t ifVersion) {
-  const HttpCall call =
+  const HttpRequest call =
       makeCall("DELETE", objectTarget(key) + "?ifVersion=" + std::to_string(ifVersion));
   return perform<std::uint64_t>(route(Millis(0)), call, Effect::possible, versionOf);
 }
 
 PlatformReply<ObjectList> PlatformHttp::list(std::string_view prefix, std::string_view after,
                                              std::size_t most) {
-  const HttpCall call =
+  const HttpRequest call =
       makeCall("GET", "/v1/objects?prefix=" + encoded(prefix) + "&after=" + encoded(after) +
                           "&limit=" + std::to_string(most));
   return perform<ObjectList>(route(Millis(0)), call, Effect::none, listOf);
@@ -137,7 +137,7 @@
 
 PlatformReply<ObjectList> PlatformHttp::watch(std::string_view prefix, std::uint64_t since,
                                               Millis wait) {
-  const HttpCall call =
+  const HttpRequest call =
       makeCall("GET", "/v1/watch?prefix=" + encoded(prefix) + "&since=" + std::to_string(since) +
                           "&waitMs=" + std::to_string(wait.count()));
   return perform<ObjectList>(route(wait), call, Effect::none, listOf);
--- a/Hallchute/src/Platform/PlatformHttp.h
+++ b/Hallchute/src/Platform/PlatformHttp.h
@@ -10,7 +10,7 @@
 
 namespace Hallchute {
 
-struct HttpCall;
+struct HttpRequest;
 struct HttpRoute;
 
 /// \brief The platform over its HTTP API; docs/API.md describes it.
@@ -31,7 +31,7 @@
   PlatformReply<HostList> hosts() override;
 
  private:
-  HttpCall makeCall(std::string method, std::string target) const;
+  HttpRequest makeCall(std::string method, std::string target) const;
   HttpRoute route(Millis extraWait) const;
 
   std::string address_;
--- a/Hallchute/src/Ports/DutyPort.h
+++ b/Hallchute/src/Ports/DutyPort.h
@@ -8,7 +8,7 @@
 
 #include "Hallchute/src/Capacity/ReplicaOrder.h"
 #include "Hallchute/src/Duty/DutyRecord.h"
-#include "Hallchute/src/Ports/ReadAge.h"
+#include "Hallchute/src/Ports/ReadConsistency.h"
 
 namespace Hallchute {
 
@@ -23,7 +23,7 @@
   DutyPort& operator=(const DutyPort&) = delete;
   virtual ~DutyPort() = default;
 
-  virtual absl::StatusOr<StoredDutyRecord> read(ReadAge age) = 0;
+  virtual absl::StatusOr<StoredDutyRecord> read(ReadConsistency consistency) = 0;
   /// \returns the new revision.
   virtual absl::StatusOr<std::uint64_t> create(const DutyRecord& record) = 0;
   virtual absl::StatusOr<std::uint64_t> write(const DutyRecord& record, std::uint64_t revision) = 0;
--- a/Hallchute/src/Ports/EnginePort.h
+++ b/Hallchute/src/Ports/EnginePort.h
@@ -55,18 +55,18 @@
 
 /// \brief The engine's word on how many context tokens it had to compute for this attempt.
 /// \ingroup Ports
-struct ComputedWord {
+struct ComputedTokens {
   std::size_t tokens = 0;
 };
 
 /// \brief The engine's word that it leaves; the stream goes on meanwhile.
 /// \ingroup Ports
-struct LeavingWord {
+struct LeaveNotice {
   Millis leavesIn{0};
 };
 
 /// \ingroup Ports
-using EngineEvent = std::variant<AnswerChunk, ComputedWord, LeavingWord>;
+using EngineEvent = std::variant<AnswerChunk, ComputedTokens, LeaveNotice>;
 
 /// \brief A model engine.
 /// \ingroup Ports
@@ -82,7 +82,7 @@
 
   /// \brief Streams an answer; blocks until it ends.
   /// \param stallLimit the longest silence.
-  virtual StreamResult generate(const GenerateRequest& request, Millis stallLimit,
+  virtual StreamResult generate(const GenerateRequest& request, Millis stallTimeout,
                                 const Receiver& receiver) = 0;
   /// \brief Stops a request; best effort.
   virtual void cancel(const std::string& request, std::uint64_t epoch) = 0;
--- a/Hallchute/src/Ports/ObjectSource.h
+++ b/Hallchute/src/Ports/ObjectSource.h
@@ -11,7 +11,7 @@
 #include <vector>
 
 #include "Hallchute/src/Core/Time.h"
-#include "Hallchute/src/Ports/ReadAge.h"
+#include "Hallchute/src/Ports/ReadConsistency.h"
 #include "Hallchute/src/Settings/JsonTree.h"
 
 namespace Hallchute {
@@ -43,7 +43,7 @@
   ObjectSource& operator=(const ObjectSource&) = delete;
   virtual ~ObjectSource() = default;
 
-  virtual absl::StatusOr<SourceBatch> list(ReadAge age) = 0;
+  virtual absl::StatusOr<SourceBatch> list(ReadConsistency consistency) = 0;
   /// \brief Changes after \p revision; an empty batch if none came within \p wait.
   virtual absl::StatusOr<SourceBatch> watch(std::uint64_t revision, Millis wait) = 0;
 };
--- a/Hallchute/src/Ports/PlainServicePort.h
+++ b/Hallchute/src/Ports/PlainServicePort.h
@@ -25,7 +25,7 @@
 
 /// \brief A whole answer.
 /// \ingroup Ports
-struct PlainAnswer {
+struct PlainResponse {
   int status = 0;
   std::string contentType;
   std::string body;
@@ -46,7 +46,7 @@
 };
 
 /// \ingroup Ports
-using PlainResult = std::variant<PlainAnswer, PlainNeverSent, PlainMaybeSent>;
+using PlainResult = std::variant<PlainResponse, PlainNeverSent, PlainMaybeSent>;
 
 /// \brief A plain service. One call sends at most one request.
 /// \ingroup Ports
@@ -57,7 +57,7 @@
   PlainServicePort& operator=(const PlainServicePort&) = delete;
   virtual ~PlainServicePort() = default;
 
-  virtual PlainResult call(const PlainRequest& request, Millis answerLimit) = 0;
+  virtual PlainResult call(const PlainRequest& request, Millis responseTimeout) = 0;
 };
 
 }  // namespace Hallchute
--- a/Hallchute/src/Ports/PlatformReply.h
+++ b/Hallchute/src/Ports/PlatformReply.h
@@ -38,16 +38,16 @@
 
 /// \brief The call may have had its effect: its reply was lost.
 /// \ingroup Ports
-struct NotKnown {
+struct OutcomeUnknown {
   std::string detail;
   /// Whether the platform fell silent, rather than closed the connection.
-  bool silent = false;
+  bool timedOut = false;
 };
 
 /// \brief The three ways in which a call to the platform ends.
 /// \ingroup Ports
 template <typename T>
-using PlatformReply = std::variant<Done<T>, Refused, NotKnown>;
+using PlatformReply = std::variant<Done<T>, Refused, OutcomeUnknown>;
 
 }  // namespace Hallchute
 
--- a/Hallchute/src/Ports/ReadAge.h
+++ b/Hallchute/src/Ports/ReadConsistency.h
@@ -1,19 +1,19 @@
 // This file is part of hallchute, a serving system for language models.
 // SPDX-License-Identifier: Apache-2.0
 
-#ifndef HALLCHUTE_PORTS_READAGE_H
-#define HALLCHUTE_PORTS_READAGE_H
+#ifndef HALLCHUTE_PORTS_READCONSISTENCY_H
+#define HALLCHUTE_PORTS_READCONSISTENCY_H
 
 namespace Hallchute {
 
 /// \brief Which state of the store a read may show. \ingroup Ports
-enum class ReadAge {
+enum class ReadConsistency {
   /// The newest.
-  newest,
+  latest,
   /// Maybe some seconds old: the store may answer it from a copy, for less.
-  maybeOld,
+  possiblyStale,
 };
 
 }  // namespace Hallchute
 
-#endif  // HALLCHUTE_PORTS_READAGE_H
+#endif  // HALLCHUTE_PORTS_READCONSISTENCY_H
--- a/Hallchute/src/Ports/TrafficCodec.h
+++ b/Hallchute/src/Ports/TrafficCodec.h
@@ -36,7 +36,7 @@
 };
 
 /// \brief What the system tells an upstream beside the request itself. \ingroup Ports
-struct DispatchTerms {
+struct DispatchMetadata {
   Millis remaining{0};
   UpstreamId upstream;
   /// Empty on a route that needs no key.
@@ -50,14 +50,14 @@
 };
 
 /// \brief What the head of an upstream's answer says. \ingroup Ports
-struct UpstreamAnswer {
+struct UpstreamResponse {
   RequestId id;
   /// The upstream promises that it did not run the request.
   bool notExecuted = false;
   /// Another upstream than the expected one lives at the address.
-  bool otherUpstream = false;
+  bool misdirected = false;
   /// The answer bears the upstream's signature.
-  bool authentic = false;
+  bool hasSignature = false;
 };
 
 /// \brief Reads and writes the header fields of callers and upstreams. \ingroup Ports
@@ -72,8 +72,8 @@
 
   virtual ClientRequest readRequest(const HttpHead& head) const = 0;
   /// \brief The fields for an upstream: the caller's own but those the system sets or hides.
-  virtual HttpFields dispatchFields(const HttpHead& head, const DispatchTerms& terms) const = 0;
-  virtual UpstreamAnswer readAnswer(const HttpHead& head) const = 0;
+  virtual HttpFields dispatchFields(const HttpHead& head, const DispatchMetadata& terms) const = 0;
+  virtual UpstreamResponse readAnswer(const HttpHead& head) const = 0;
 };
 
 }  // namespace Hallchute
--- a/Hallchute/src/Recovery/HandOverRecord.cpp
+++ b/Hallchute/src/Recovery/HandOverRecord.cpp
@@ -58,7 +58,7 @@
   record.prompt = reader.text("prompt", true);
   record.chat = reader.boolean("chat", true);
   record.maxTokens = static_cast<std::size_t>(reader.integer("maxTokens", 0, kMaxInteger, 0));
-  record.tokens = reader.texts("tokens");
+  record.tokens = reader.stringList("tokens");
   record.detail = reader.text("detail", false);
   return record;
 }
--- a/Hallchute/src/Settings/ChangeLog.cpp
+++ b/Hallchute/src/Settings/ChangeLog.cpp
@@ -8,8 +8,8 @@
 
 constexpr std::size_t kRecentChanges = 128;
 
-std::shared_ptr<const SettingsInForce> makeInForce(std::uint64_t revision, const JsonObject& json) {
-  auto made = std::make_shared<SettingsInForce>();
+std::shared_ptr<const ActiveSettings> makeInForce(std::uint64_t revision, const JsonObject& json) {
+  auto made = std::make_shared<ActiveSettings>();
   Findings findings;
   made->revision = revision;
   made->json = json;
@@ -21,7 +21,7 @@
 
 ChangeLog::ChangeLog() : inForce_(makeInForce(0, new Poco::JSON::Object)) {}
 
-bool ChangeLog::startFrom(std::uint64_t revision, const JsonObject& json) {
+bool ChangeLog::loadSnapshot(std::uint64_t revision, const JsonObject& json) {
   if (revision <= inForce_->revision) return false;
   inForce_ = makeInForce(revision, json);
   waiting_.erase(waiting_.begin(), waiting_.upper_bound(revision));
--- a/Hallchute/src/Settings/ChangeLog.h
+++ b/Hallchute/src/Settings/ChangeLog.h
@@ -15,7 +15,7 @@
 
 /// \brief The settings in force at one revision, shared and never changed.
 /// \ingroup Settings
-struct SettingsInForce {
+struct ActiveSettings {
   std::uint64_t revision = 0;
   JsonObject json;
   SettingsTree tree;
@@ -33,11 +33,11 @@
   ChangeLog();
   /// \brief Starts from a snapshot; ignored unless it is newer than what is in force.
   /// \returns whether it is in force now.
-  bool startFrom(std::uint64_t revision, const JsonObject& json);
+  bool loadSnapshot(std::uint64_t revision, const JsonObject& json);
   /// \brief Takes one change.
   /// \returns whether the revision in force rose.
   bool add(SettingsChange change);
-  const std::shared_ptr<const SettingsInForce>& inForce() const { return inForce_; }
+  const std::shared_ptr<const ActiveSettings>& activeSettings() const { return inForce_; }
   std::uint64_t revision() const { return inForce_->revision; }
   /// \brief Changes after \p revision that are still held, oldest first, at most \p most.
   std::vector<SettingsChange> after(std::uint64_t revision, std::size_t most) const;
@@ -45,7 +45,7 @@
  private:
   bool applyNext();
 
-  std::shared_ptr<const SettingsInForce> inForce_;
+  std::shared_ptr<const ActiveSettings> inForce_;
   std::map<std::uint64_t, SettingsChange> waiting_;
   /// The newest changes applied, kept for peers that lag.
   std::map<std::uint64_t, SettingsChange> recent_;
--- a/Hallchute/src/Settings/JsonReader.cpp
+++ b/Hallchute/src/Settings/JsonReader.cpp
@@ -84,7 +84,7 @@
   return std::string(words.front());
 }
 
-std::vector<std::string> JsonReader::texts(const std::string& name) {
+std::vector<std::string> JsonReader::stringList(const std::string& name) {
   std::vector<std::string> found;
   const Poco::Dynamic::Var value = take(name);
   if (value.isEmpty()) return found;
--- a/Hallchute/src/Settings/JsonReader.h
+++ b/Hallchute/src/Settings/JsonReader.h
@@ -35,7 +35,7 @@
   std::string text(const std::string& name, bool required);
   /// \brief One of \p words; their first if absent.
   std::string oneOf(const std::string& name, std::span<const std::string_view> words);
-  std::vector<std::string> texts(const std::string& name);
+  std::vector<std::string> stringList(const std::string& name);
   bool has(const std::string& name) const;
   /// \brief Runs \p read on the member object; does nothing if it is absent.
   void object(const std::string& name, const std::function<void(JsonReader&)>& read);
--- a/Hallchute/src/Settings/JsonTree.cpp
+++ b/Hallchute/src/Settings/JsonTree.cpp
@@ -106,7 +106,7 @@
   return {};
 }
 
-std::string withoutBrokenText(std::string_view text) {
+std::string replaceInvalidUtf8(std::string_view text) {
   std::string clean(text);
   std::size_t i = 0;
   while (i < clean.size()) {
--- a/Hallchute/src/Settings/JsonTree.h
+++ b/Hallchute/src/Settings/JsonTree.h
@@ -26,7 +26,7 @@
 /// \brief \p text with a question mark for each byte that belongs to no UTF-8 character: one member
 /// that holds such bytes must not make a whole document unreadable.
 /// \ingroup Settings
-std::string withoutBrokenText(std::string_view text);
+std::string replaceInvalidUtf8(std::string_view text);
 
 /// \brief The text of \p value on one line, keys in alphabetical order.
 /// \ingroup Settings
--- a/Hallchute/src/Settings/PolicyKey.cpp
+++ b/Hallchute/src/Settings/PolicyKey.cpp
@@ -61,7 +61,7 @@
   return kSpecs;
 }
 
-std::optional<PolicyKey> policyKeyNamed(std::string_view name) {
+std::optional<PolicyKey> findPolicyKey(std::string_view name) {
   for (const PolicySpec& spec : kSpecs) {
     if (spec.name == name) return spec.key;
   }
--- a/Hallchute/src/Settings/PolicyKey.h
+++ b/Hallchute/src/Settings/PolicyKey.h
@@ -60,7 +60,7 @@
 
 /// \brief The key called \p name, if there is one.
 /// \ingroup Settings
-std::optional<PolicyKey> policyKeyNamed(std::string_view name);
+std::optional<PolicyKey> findPolicyKey(std::string_view name);
 
 }  // namespace Hallchute
 
--- a/Hallchute/src/Settings/SettingsChange.cpp
+++ b/Hallchute/src/Settings/SettingsChange.cpp
@@ -22,7 +22,7 @@
   return std::string(kChangePrefix) + digits;
 }
 
-std::string changeText(const SettingsChange& change) {
+std::string serializeChange(const SettingsChange& change) {
   Poco::JSON::Object json;
   json.set("number", change.number);
   json.set("id", change.id);
--- a/Hallchute/src/Settings/SettingsChange.h
+++ b/Hallchute/src/Settings/SettingsChange.h
@@ -35,7 +35,7 @@
 
 inline constexpr std::string_view kChangePrefix = "settings/changes/";
 
-std::string changeText(const SettingsChange& change);
+std::string serializeChange(const SettingsChange& change);
 
 /// \returns a change with number 0 after adding findings, if \p text is no change.
 SettingsChange parseChange(std::string_view text, Findings& findings);
--- a/Hallchute/src/Settings/SettingsTree.cpp
+++ b/Hallchute/src/Settings/SettingsTree.cpp
@@ -62,12 +62,12 @@
 Organisation readOrganisation(const std::string& name, JsonReader& reader) {
   Organisation organisation;
   organisation.name = OrganisationName(name);
-  organisation.keySha256 = reader.texts("keySha256");
+  organisation.keySha256 = reader.stringList("keySha256");
   for (std::size_t i = 0; i < organisation.keySha256.size(); ++i) {
     if (isHash(organisation.keySha256[i])) continue;
     reader.report("keySha256/" + std::to_string(i), "must be 64 lower-case hexadecimal digits");
   }
-  for (std::string& service : reader.texts("services")) {
+  for (std::string& service : reader.stringList("services")) {
     organisation.services.insert(ServiceName(std::move(service)));
   }
   organisation.weight = reader.integer("weight", 1, kMaxWeight, 1);
@@ -97,9 +97,9 @@
 
 }  // namespace
 
-PolicyAnswer SettingsTree::explain(PolicyKey key, const PolicyScope& scope) const {
+ResolvedPolicy SettingsTree::explain(PolicyKey key, const PolicyScope& scope) const {
   const PolicySpec& spec = policySpecs()[static_cast<std::size_t>(key)];
-  PolicyAnswer answer{spec.fallback, "default"};
+  ResolvedPolicy answer{spec.fallback, "default"};
   const auto consider = [&](const PolicyValues& values, const std::string& level) {
     if (const auto value = values.get(key)) answer = {*value, level};
   };
--- a/Hallchute/src/Settings/SettingsTree.h
+++ b/Hallchute/src/Settings/SettingsTree.h
@@ -27,7 +27,7 @@
 
 /// \brief A policy number and the level of the tree that gave it.
 /// \ingroup Settings
-struct PolicyAnswer {
+struct ResolvedPolicy {
   std::int64_t value = 0;
   /// `default`, `fleet`, `failureDomains/NAME`, `services/NAME` or `organisations/NAME`.
   std::string level;
@@ -43,7 +43,7 @@
   std::map<OrganisationName, Organisation> organisations;
 
   /// \brief The number in force: the most particular level that sets it, else the default.
-  PolicyAnswer explain(PolicyKey key, const PolicyScope& scope) const;
+  ResolvedPolicy explain(PolicyKey key, const PolicyScope& scope) const;
   std::int64_t policy(PolicyKey key, const PolicyScope& scope) const;
   /// \brief The organisation whose key \p token is, or null. Time depends on lengths only.
   const Organisation* organisationOf(std::string_view token) const;
--- a/Hallchute/src/Traffic/TrafficEngine.cpp
+++ b/Hallchute/src/Traffic/TrafficEngine.cpp
@@ -108,7 +108,7 @@
   metrics_.add("hallchute_requests_refused_total", "reason=\"" + std::string(reason) + "\"");
   HttpFields fields;
   if (retryAfter) fields.add("Retry-After", retryAfterText(*retryAfter));
-  exchange.answer(status, fields, "");
+  exchange.respond(status, fields, "");
 }
 
 void TrafficEngine::logQuotaShortage(const SessionAdmission& admission,
--- a/Hallchute/src/Traffic/TrafficSession.cpp
+++ b/Hallchute/src/Traffic/TrafficSession.cpp
@@ -79,7 +79,7 @@
       service_(RouteTable::pickTarget(*admission_.route, admission_.request.id.str())),
       relay_(
           {admission_.route->mayRepeat(), admission_.route->resumable, admission_.route->maxRuns}),
-      deadline_(exchange_->arrived() + timeLimitOf(*admission_.route, admission_.request)) {
+      deadline_(exchange_->receivedAt() + timeLimitOf(*admission_.route, admission_.request)) {
   selection_.service = service_;
   if (admission_.route->sharesPrompts) {
     selection_.affinity = affinityOf(admission_.request);
@@ -94,7 +94,7 @@
 }
 
 void TrafficSession::begin() {
-  exchange_->onCallerLeft = [weak = weak_from_this()] {
+  exchange_->onCallerDisconnected = [weak = weak_from_this()] {
     if (const auto session = weak.lock()) session->handleEvent(RelayEvents::CallerDisconnected{});
   };
   const Millis left = remaining();
@@ -158,7 +158,7 @@
   channel_ = engine_.pool().take(id, upstream.record.address, care,
                                  engine_.connectionShare(service_), now);
   if (channel_ == nullptr) return false;
-  DispatchTerms terms;
+  DispatchMetadata terms;
   terms.remaining = remaining();
   terms.upstream = id;
   if (admission_.organisation != nullptr) terms.organisation = admission_.organisation->name;
@@ -210,7 +210,7 @@
 
 bool TrafficSession::upstreamHead(const HttpHead& head) {
   answer_ = engine_.codec().readAnswer(head);
-  if (!answer_.notExecuted && !answer_.otherUpstream && answer_.id != admission_.request.id) {
+  if (!answer_.notExecuted && !answer_.misdirected && answer_.id != admission_.request.id) {
     LogLine(LogLevel::warning, "upstream.foreignAnswer")
         .with("request", selection_.requestId)
         .with("upstream", upstream_.str())
@@ -221,7 +221,7 @@
   answerBody_.clear();
   const bool eventStream =
       absl::StartsWith(std::string(head.fields.get("Content-Type")), "text/event-stream");
-  answerIsStream_ = isSuccess(head.status) && answer_.authentic &&
+  answerIsStream_ = isSuccess(head.status) && answer_.hasSignature &&
                     admission_.route->kind == WorkKind::stream && eventStream;
   return true;
 }
@@ -267,19 +267,19 @@
 }
 
 void TrafficSession::upstreamDone() {
-  if (answer_.notExecuted || answer_.otherUpstream) {
+  if (answer_.notExecuted || answer_.misdirected) {
     LogLine(LogLevel::info, "upstream.rejected")
         .with("request", selection_.requestId)
         .with("upstream", upstream_.str())
         .with("status", answerHead_.status);
-    if (answer_.otherUpstream) engine_.upstreamTable().noteAddressReused(upstream_, clockNow());
-    endDispatch(DispatchResult::rejected, !answer_.otherUpstream);
+    if (answer_.misdirected) engine_.upstreamTable().noteAddressReused(upstream_, clockNow());
+    endDispatch(DispatchResult::rejected, !answer_.misdirected);
     handleEvent(RelayEvents::NotExecuted{});
     return;
   }
   if (answerIsStream_) {
     // An answer delimited by the end of the connection may have been truncated within an event.
-    const bool complete = !answerHead_.endsWithConnection || splitter_.incompleteEvent().empty();
+    const bool complete = !answerHead_.bodyEndsAtClose || splitter_.incompleteEvent().empty();
     if (!complete) {
       upstreamFailed(true);
       return;
@@ -293,7 +293,7 @@
   }
   recordRunStart();
   // A started stream can only be continued by another stream.
-  if (!answer_.authentic || relay_.started()) {
+  if (!answer_.hasSignature || relay_.started()) {
     upstreamFailed(true);
     return;
   }
@@ -374,20 +374,20 @@
 }
 
 void TrafficSession::perform(const RelayActions::ForwardEvent& action) {
-  if (action.first) exchange_->startPieces(answerHead_.status, forwardedFields(answerHead_));
+  if (action.first) exchange_->startStream(answerHead_.status, forwardedFields(answerHead_));
   if (!event_.id.empty()) lastEventId_ = event_.id;
-  exchange_->sendPiece(event_.bytes);
+  exchange_->sendStreamData(event_.bytes);
 }
 
 void TrafficSession::perform(const RelayActions::EndStream&) {
-  exchange_->endPieces();
+  exchange_->endStream();
   finish("answered", answerHead_.status);
 }
 
 void TrafficSession::perform(const RelayActions::ForwardResponse&) {
   const HttpHead& head = answerComplete_ ? answerHead_ : fallbackHead_;
-  exchange_->answer(head.status, forwardedFields(head),
-                    answerComplete_ ? answerBody_ : fallbackBody_);
+  exchange_->respond(head.status, forwardedFields(head),
+                     answerComplete_ ? answerBody_ : fallbackBody_);
   finish("answered", head.status);
 }
 
@@ -397,26 +397,26 @@
   }
   HttpFields fields;
   fields.add("Retry-After", retryAfterText(kRefusalRetryAfter));
-  exchange_->answer(kUnavailable, fields, "");
+  exchange_->respond(kUnavailable, fields, "");
   finish("refused", kUnavailable);
 }
 
 void TrafficSession::perform(const RelayActions::Fail& action) {
   const int status = action.deadlineExceeded ? kGatewayTimeout : kBadGateway;
-  exchange_->answer(status, {}, "");
+  exchange_->respond(status, {}, "");
   finish(action.deadlineExceeded ? "timeUp" : "mayHaveRun", status);
 }
 
 void TrafficSession::perform(const RelayActions::AbortStream&) {
-  exchange_->breakOff();
+  exchange_->abortResponse();
   finish("brokenOff", answerHead_.status);
 }
 
 void TrafficSession::finish(std::string_view outcome, int status) {
   stopTimers();
   const Instant now = clockNow();
-  const auto total = std::chrono::duration_cast<Millis>(now - exchange_->arrived());
-  const auto first = firstOutputAt_.value_or(now) - exchange_->arrived();
+  const auto total = std::chrono::duration_cast<Millis>(now - exchange_->receivedAt());
+  const auto first = firstOutputAt_.value_or(now) - exchange_->receivedAt();
   LogLine(LogLevel::info, "request.end")
       .with("request", selection_.requestId)
       .with("route", admission_.route->name)
--- a/Hallchute/src/Traffic/TrafficSession.h
+++ b/Hallchute/src/Traffic/TrafficSession.h
@@ -96,7 +96,7 @@
   Instant dispatchedAt_{};
   std::optional<Instant> firstOutputAt_;
 
-  UpstreamAnswer answer_;
+  UpstreamResponse answer_;
   HttpHead answerHead_;
   std::string answerBody_;
   bool answerIsStream_ = false;
--- a/Hallchute/src/Upstream/EngineHttp.cpp
+++ b/Hallchute/src/Upstream/EngineHttp.cpp
@@ -40,9 +40,9 @@
   Findings findings;
   const JsonObject json = parseJsonObject(data, findings);
   if (!json) return std::nullopt;
-  if (json->has("computed")) return ComputedWord{json->optValue<std::size_t>("computed", 0)};
+  if (json->has("computed")) return ComputedTokens{json->optValue<std::size_t>("computed", 0)};
   if (json->has("leavesInMs")) {
-    return LeavingWord{Millis(json->optValue<std::int64_t>("leavesInMs", 0))};
+    return LeaveNotice{Millis(json->optValue<std::int64_t>("leavesInMs", 0))};
   }
   if (!json->has("epoch") || !json->has("offset")) return std::nullopt;
   AnswerChunk chunk;
@@ -64,7 +64,7 @@
   return {StreamEnd::broke, "the stream ended or fell silent", Millis(0)};
 }
 
-StreamResult refusedResult(const HttpAnswer& answer) {
+StreamResult refusedResult(const HttpResponse& answer) {
   const std::string leaving = answer.header("Engine-Leaving");
   if (leaving.empty()) {
     return {StreamEnd::refused, "status " + std::to_string(answer.status), Millis(0)};
@@ -77,10 +77,10 @@
 EngineHttp::EngineHttp(std::string address, std::string source, Millis connectLimit)
     : address_(std::move(address)), source_(std::move(source)), connectLimit_(connectLimit) {}
 
-StreamResult EngineHttp::generate(const GenerateRequest& request, Millis stallLimit,
+StreamResult EngineHttp::generate(const GenerateRequest& request, Millis stallTimeout,
                                   const Receiver& receiver) {
-  HttpExchange exchange({address_, source_, connectLimit_, stallLimit});
-  HttpCall call{"POST", "/v1/generate", "application/json", generateBody(request), {}};
+  HttpExchange exchange({address_, source_, connectLimit_, stallTimeout});
+  HttpRequest call{"POST", "/v1/generate", "application/json", generateBody(request), {}};
   const HttpResult result = exchange.open(call);
   if (const auto* notSent = std::get_if<HttpNeverSent>(&result)) {
     return {StreamEnd::connectFailed, notSent->detail, Millis(0)};
@@ -88,7 +88,7 @@
   if (const auto* maybeSent = std::get_if<HttpMaybeSent>(&result)) {
     return {StreamEnd::broke, maybeSent->detail, Millis(0)};
   }
-  const auto& answer = std::get<HttpAnswer>(result);
+  const auto& answer = std::get<HttpResponse>(result);
   if (answer.status != 200) return refusedResult(answer);
   return readEvents(exchange.stream(), receiver);
 }
@@ -102,7 +102,7 @@
   HttpExchange exchange({address_, source_, connectLimit_, kControlCallTimeout});
   const HttpResult result = exchange.run(
       {"POST", "/v1/cache/export", "application/json", requestIdBody(request, epoch), {}});
-  const auto* answer = std::get_if<HttpAnswer>(&result);
+  const auto* answer = std::get_if<HttpResponse>(&result);
   return answer != nullptr && answer->status == 200 ? answer->body : std::string();
 }
 
@@ -110,7 +110,7 @@
   HttpExchange exchange({address_, source_, connectLimit_, kControlCallTimeout});
   const HttpResult result =
       exchange.run({"POST", "/v1/cache/import", "application/octet-stream", cache, {}});
-  const auto* answer = std::get_if<HttpAnswer>(&result);
+  const auto* answer = std::get_if<HttpResponse>(&result);
   if (answer == nullptr || answer->status != 200) return {};
   Findings findings;
   const JsonObject json = parseJsonObject(answer->body, findings);
--- a/Hallchute/src/Upstream/EngineHttp.h
+++ b/Hallchute/src/Upstream/EngineHttp.h
@@ -16,7 +16,7 @@
  public:
   EngineHttp(std::string address, std::string source, Millis connectLimit);
 
-  StreamResult generate(const GenerateRequest& request, Millis stallLimit,
+  StreamResult generate(const GenerateRequest& request, Millis stallTimeout,
                         const Receiver& receiver) override;
   void cancel(const std::string& request, std::uint64_t epoch) override;
   std::string exportCache(const std::string& request, std::uint64_t epoch) override;
--- a/Hallchute/src/Upstream/PlainServiceHttp.cpp
+++ b/Hallchute/src/Upstream/PlainServiceHttp.cpp
@@ -11,15 +11,15 @@
 PlainServiceHttp::PlainServiceHttp(std::string address, std::string source, Millis connectLimit)
     : address_(std::move(address)), source_(std::move(source)), connectLimit_(connectLimit) {}
 
-PlainResult PlainServiceHttp::call(const PlainRequest& request, Millis answerLimit) {
-  HttpExchange exchange({address_, source_, connectLimit_, answerLimit});
+PlainResult PlainServiceHttp::call(const PlainRequest& request, Millis responseTimeout) {
+  HttpExchange exchange({address_, source_, connectLimit_, responseTimeout});
   const HttpResult result = exchange.run(
       {request.method, request.target, request.contentType, request.body, request.headers});
   return std::visit(
-      Overloaded{[](const HttpAnswer& answer) -> PlainResult {
+      Overloaded{[](const HttpResponse& answer) -> PlainResult {
                    const bool leaving =
                        answer.status == 503 && !answer.header("Service-Leaving").empty();
-                   return PlainAnswer{answer.status, answer.contentType, answer.body, leaving};
+                   return PlainResponse{answer.status, answer.contentType, answer.body, leaving};
                  },
                  [](const HttpNeverSent& notSent) -> PlainResult {
                    return PlainNeverSent{notSent.detail};
--- a/Hallchute/src/Upstream/PlainServiceHttp.h
+++ b/Hallchute/src/Upstream/PlainServiceHttp.h
@@ -20,7 +20,7 @@
  public:
   PlainServiceHttp(std::string address, std::string source, Millis connectLimit);
 
-  PlainResult call(const PlainRequest& request, Millis answerLimit) override;
+  PlainResult call(const PlainRequest& request, Millis responseTimeout) override;
 
  private:
   std::string address_;
--- a/Hallchute/src/Upstream/UpstreamChannel.cpp
+++ b/Hallchute/src/Upstream/UpstreamChannel.cpp
@@ -45,7 +45,7 @@
 }
 
 HttpReader UpstreamChannel::newReader() {
-  return {HttpSide::answers, kAnswerLimits};
+  return {HttpMessageType::responses, kAnswerLimits};
 }
 
 void UpstreamChannel::start(std::string_view request, bool answerHasNoBody,
@@ -91,7 +91,7 @@
   return usable_ && listener_ == nullptr && input_.empty() && channel_.unsent() == 0;
 }
 
-void UpstreamChannel::channelBytes(std::string_view bytes) {
+void UpstreamChannel::onChannelBytes(std::string_view bytes) {
   if (listener_ == nullptr) {
     // Data without a request: a later response on this connection can't be matched reliably.
     usable_ = false;
@@ -160,14 +160,14 @@
   if (listener != nullptr) listener->upstreamFailed(sent);
 }
 
-void UpstreamChannel::channelEnded(ChannelEnd end) {
+void UpstreamChannel::onChannelEnded(ChannelEnd end) {
   cancelAcknowledgementTimer();
   usable_ = false;
   if (listener_ == nullptr) {
     if (onIdleClosed) onIdleClosed();
     return;
   }
-  const bool endsMessage = end == ChannelEnd::finished && headReceived_ && !discarding_ &&
+  const bool endsMessage = end == ChannelEnd::peerClosed && headReceived_ && !discarding_ &&
                            reader_.end() == HttpProgress::complete;
   if (endsMessage) {
     finish();
--- a/Hallchute/src/Upstream/UpstreamChannel.h
+++ b/Hallchute/src/Upstream/UpstreamChannel.h
@@ -54,7 +54,7 @@
   /// \brief Whether this connection can carry another request.
   bool reusable() const;
   /// \brief Whether the kernel has received neither data nor a close from the peer.
-  bool quiet() const { return channel_.quiet(); }
+  bool isOpenAndIdle() const { return channel_.isOpenAndIdle(); }
   /// \brief Whether the upstream's host has acknowledged the whole request.
   bool delivered() const { return channel_.acknowledged(); }
   /// \brief Called when the peer closes the connection, or sends data, between exchanges.
@@ -62,8 +62,8 @@
   /// \brief The timeout in the upstream's `Keep-Alive` field; zero if it sent none.
   Millis keepAliveTimeout() const { return keepAliveTimeout_; }
 
-  void channelBytes(std::string_view bytes) override;
-  void channelEnded(ChannelEnd end) override;
+  void onChannelBytes(std::string_view bytes) override;
+  void onChannelEnded(ChannelEnd end) override;
 
  private:
   static HttpReader newReader();
--- a/Hallchute/src/Upstream/UpstreamPool.cpp
+++ b/Hallchute/src/Upstream/UpstreamPool.cpp
@@ -51,7 +51,7 @@
     entry.idle.pop_back();
     const Millis limit =
         reuse == ConnectionReuse::safe ? safeReuseTime(*idle.channel) : keepTime(*idle.channel);
-    if (now - idle.idleSince < limit && idle.channel->quiet()) {
+    if (now - idle.idleSince < limit && idle.channel->isOpenAndIdle()) {
       idle.channel->onIdleClosed = nullptr;
       return std::move(idle.channel);
     }
--- a/bench/load/main.cpp
+++ b/bench/load/main.cpp
@@ -93,11 +93,11 @@
   json->set("prompt", promptOf(number));
   json->set("max_tokens", absl::GetFlag(FLAGS_tokens));
   json->set("stream", true);
-  HttpCall call{"POST", "/v1/completions", "application/json", jsonText(json), {}};
+  HttpRequest call{"POST", "/v1/completions", "application/json", jsonText(json), {}};
   call.headers.emplace_back("Authorization", "Bearer " + absl::GetFlag(FLAGS_token));
   HttpExchange exchange({address, "", kConnectLimit, kAnswerLimit});
   const HttpResult result = exchange.open(call);
-  const auto* answer = std::get_if<HttpAnswer>(&result);
+  const auto* answer = std::get_if<HttpResponse>(&result);
   bool whole = false;
   std::string line;
   while (answer != nullptr && !whole && std::getline(exchange.stream(), line)) {
--- a/bench/slopes/main.cpp
+++ b/bench/slopes/main.cpp
@@ -162,9 +162,9 @@
   for (std::size_t i = 0; i < blocks; ++i) {
     request.wanted.prefixHashes.push_back(stableHash(std::to_string(i)));
   }
-  const GrantReplyMessage reply{GrantWord::granted, UpstreamId("host-1234-incarnation-1"), {}};
+  const GrantReplyMessage reply{GrantReplyKind::granted, UpstreamId("host-1234-incarnation-1"), {}};
   const std::size_t bytes =
-      pack(request).size() + pack(reply).size() + 2 * pack(GrantNoteMessage{}).size();
+      pack(request).size() + pack(reply).size() + 2 * pack(GrantProgressMessage{}).size();
   line("grant", std::to_string(blocks) + " blocks", "bytes per grant", static_cast<double>(bytes));
 }
 
@@ -194,10 +194,10 @@
   std::vector<std::string> texts;
   texts.reserve(kChanges);
   for (int i = 0; i < kChanges; ++i) {
-    texts.push_back(
-        changeText(change(static_cast<std::uint64_t>(i) + 2,
-                          R"({"organisations":{"org)" + std::to_string(i % organisations) +
-                              R"(":{"policy":{"maxQueue":)" + std::to_string(i + 1) + "}}}}")));
+    texts.push_back(serializeChange(
+        change(static_cast<std::uint64_t>(i) + 2,
+               R"({"organisations":{"org)" + std::to_string(i % organisations) +
+                   R"(":{"policy":{"maxQueue":)" + std::to_string(i + 1) + "}}}}")));
   }
   const double before = cpuSeconds();
   for (const std::string& text : texts) log.add(parseChange(text, findings));
@@ -207,7 +207,7 @@
   line("settings", at, "bytes per change", static_cast<double>(texts.back().size()));
   line("settings", at, "state with 128 changes, KB", (heapBytes() - heapBefore) / 1024);
   line("settings", at, "snapshot, KB",
-       static_cast<double>(jsonText(log.inForce()->json).size()) / 1024);
+       static_cast<double>(jsonText(log.activeSettings()->json).size()) / 1024);
 }
 
 void onceRecords() {
--- a/test/ForeignEntryTest.cpp
+++ b/test/ForeignEntryTest.cpp
@@ -153,14 +153,15 @@
     for (const std::string& foreign : foreignItems()) {
       CannedStore canned(R"({"items":[)" + item("i-a", kGoodSpec) + "," + foreign + "," +
                          item("i-b", kGoodSpec) + R"(],"more-pages":false,"as-of":9})");
-      CPPUNIT_ASSERT_EQUAL_MESSAGE(foreign, std::string("i-a,i-b"),
-                                   upstreamsOf(canned.store().list("servers", ReadAge::newest)));
+      CPPUNIT_ASSERT_EQUAL_MESSAGE(
+          foreign, std::string("i-a,i-b"),
+          upstreamsOf(canned.store().list("servers", ReadConsistency::latest)));
     }
     // Bytes that are no text, within an entry.
     const std::string bytes = changed(R"("s")", "\"\xff\xfe\"");
     CannedStore canned(R"({"items":[)" + item("i-x", bytes) + "," + item("i-b", kGoodSpec) +
                        R"(],"more-pages":false,"as-of":9})");
-    const std::string names = upstreamsOf(canned.store().list("servers", ReadAge::newest));
+    const std::string names = upstreamsOf(canned.store().list("servers", ReadConsistency::latest));
     CPPUNIT_ASSERT_MESSAGE(names, names.find("i-b") != std::string::npos);
   }
 
--- a/test/FrontContractTest.cpp
+++ b/test/FrontContractTest.cpp
@@ -105,7 +105,7 @@
   void anIdleConnectionIsClosed() {
     GatewayRig rig;
     FrontLimits limits;
-    limits.idleTime = Millis(50);
+    limits.idleTimeout = Millis(50);
     rig.setLimits(limits);
     RawCaller caller(rig.address());
     CPPUNIT_ASSERT_EQUAL(std::string(), caller.readAll());
@@ -115,7 +115,7 @@
   void aSlowHeadIsRefused() {
     GatewayRig rig;
     FrontLimits limits;
-    limits.headTime = Millis(50);
+    limits.headTimeout = Millis(50);
     rig.setLimits(limits);
     RawCaller caller(rig.address());
     caller.send("GET /s/x HT");
--- a/test/ObjectFollowerTest.cpp
+++ b/test/ObjectFollowerTest.cpp
@@ -16,9 +16,9 @@
 /// A store without changes that counts the calls.
 class CountedSource final : public ObjectSource {
  public:
-  absl::StatusOr<SourceBatch> list(ReadAge age) override {
+  absl::StatusOr<SourceBatch> list(ReadConsistency consistency) override {
     ++lists;
-    if (age == ReadAge::maybeOld) ++oldLists;
+    if (consistency == ReadConsistency::possiblyStale) ++oldLists;
     return SourceBatch{{}, 1};
   }
   absl::StatusOr<SourceBatch> watch(std::uint64_t revision, Millis wait) override {
@@ -35,7 +35,7 @@
 /// A store in which something changes all the time.
 class BusySource final : public ObjectSource {
  public:
-  absl::StatusOr<SourceBatch> list(ReadAge) override { return SourceBatch{{}, 1}; }
+  absl::StatusOr<SourceBatch> list(ReadConsistency) override { return SourceBatch{{}, 1}; }
   absl::StatusOr<SourceBatch> watch(std::uint64_t revision, Millis) override {
     ++watches;
     return SourceBatch{{{"thing", revision + 1, nullptr, false}}, revision + 1};
--- a/test/OwnInterfaceTest.cpp
+++ b/test/OwnInterfaceTest.cpp
@@ -41,7 +41,7 @@
     startup.peerSecret = "secret";
     startup.platformAddress = freeAddress();
     startup.platformToken = "token";
-    startup.platformLimit = Millis(100);
+    startup.platformTimeout = Millis(100);
     const std::string address = startup.callerListen;
     Daemon daemon(std::move(startup));
     std::thread thread([&] { daemon.run(); });
--- a/test/PeerTransportTest.cpp
+++ b/test/PeerTransportTest.cpp
@@ -107,7 +107,7 @@
         {other, good.address(), "/echo", 1},
         {good, good.address(), "/nothing", 1},
         {good, freeAddress(), "/echo", 1},
-        {good, good.address(), "/echo", PeerSession::kMaxMessage + 1},
+        {good, good.address(), "/echo", PeerSession::kMaxMessageBytes + 1},
     };
     for (const Case& c : cases) {
       CPPUNIT_ASSERT_EQUAL(std::string("closed"),
--- a/test/PlatformContractTest.cpp
+++ b/test/PlatformContractTest.cpp
@@ -41,8 +41,8 @@
 template <typename T>
 std::string wordOf(const PlatformReply<T>& reply) {
   if (std::holds_alternative<Done<T>>(reply)) return "done";
-  if (const auto* unknown = std::get_if<NotKnown>(&reply)) {
-    return unknown->silent ? "silent" : "not-known";
+  if (const auto* unknown = std::get_if<OutcomeUnknown>(&reply)) {
+    return unknown->timedOut ? "silent" : "not-known";
   }
   switch (std::get<Refused>(reply).reason) {
     case PlatformRefusal::conflict:
--- a/test/SettingsTest.cpp
+++ b/test/SettingsTest.cpp
@@ -127,7 +127,7 @@
         {PolicyKey::stallLimitMs, {d, s, o}, 3'000, "default"},
     };
     for (const Case& c : cases) {
-      const PolicyAnswer answer = tree.explain(c.key, c.scope);
+      const ResolvedPolicy answer = tree.explain(c.key, c.scope);
       CPPUNIT_ASSERT_EQUAL(c.value, answer.value);
       CPPUNIT_ASSERT_EQUAL(std::string(c.level), answer.level);
     }
@@ -186,7 +186,7 @@
     written.reason = "a \"quoted\"\nreason";
     written.differences = {{"/x", "", "3"}};
     Findings findings;
-    const SettingsChange read = parseChange(changeText(written), findings);
+    const SettingsChange read = parseChange(serializeChange(written), findings);
     CPPUNIT_ASSERT_EQUAL(std::uint64_t(7), read.number);
     CPPUNIT_ASSERT_EQUAL(written.reason, read.reason);
     CPPUNIT_ASSERT(written.differences == read.differences);
@@ -198,7 +198,7 @@
   void changesApplyInOrderOnceAndNeverBack() {
     ChangeLog log;
     const auto queueNow = [&] {
-      return log.inForce()->tree.policy(PolicyKey::maxQueue, PolicyScope{});
+      return log.activeSettings()->tree.policy(PolicyKey::maxQueue, PolicyScope{});
     };
     CPPUNIT_ASSERT(log.add(change(1, maxQueue(11))));
     CPPUNIT_ASSERT(!log.add(change(3, maxQueue(33))));
@@ -215,15 +215,15 @@
     ChangeLog log;
     log.add(change(1, maxQueue(11)));
     log.add(change(6, maxQueue(66)));
-    CPPUNIT_ASSERT(log.startFrom(5, json(maxQueue(55))));
+    CPPUNIT_ASSERT(log.loadSnapshot(5, json(maxQueue(55))));
     CPPUNIT_ASSERT_EQUAL(std::uint64_t(6), log.revision());
-    CPPUNIT_ASSERT(!log.startFrom(5, json(maxQueue(55))));
+    CPPUNIT_ASSERT(!log.loadSnapshot(5, json(maxQueue(55))));
     CPPUNIT_ASSERT_EQUAL(std::uint64_t(6), log.revision());
   }
 
   void peersGetOnlyAnUnbrokenRun() {
     ChangeLog log;
-    log.startFrom(10, json("{}"));
+    log.loadSnapshot(10, json("{}"));
     log.add(change(11, maxQueue(1)));
     log.add(change(12, maxQueue(2)));
     CPPUNIT_ASSERT_EQUAL(std::size_t(2), log.after(10, 9).size());
--- a/test/TcpChannelTest.cpp
+++ b/test/TcpChannelTest.cpp
@@ -23,8 +23,8 @@
 /// Remembers what it was told, and aborts its channel when that ends.
 class Owner final : public TcpChannelOwner {
  public:
-  void channelBytes(std::string_view bytes) override { received += bytes; }
-  void channelEnded(ChannelEnd how) override {
+  void onChannelBytes(std::string_view bytes) override { received += bytes; }
+  void onChannelEnded(ChannelEnd how) override {
     end = how;
     channel->abort();
     ended = true;
@@ -61,7 +61,7 @@
     peer.shutdownSend();
     peer.setReceiveTimeout(Poco::Timespan(5, 0));
     awaitEnd(owner);
-    CPPUNIT_ASSERT(owner.end == ChannelEnd::finished);
+    CPPUNIT_ASSERT(owner.end == ChannelEnd::peerClosed);
     const ssize_t got = ::recv(peer.impl()->sockfd(), buffer, sizeof buffer, 0);
     const int error = errno;
     stop(loop, thread, owner);
--- a/test/UpstreamContractTest.cpp
+++ b/test/UpstreamContractTest.cpp
@@ -65,7 +65,7 @@
 };
 
 std::string wordOf(const PlainResult& result) {
-  if (const auto* answer = std::get_if<PlainAnswer>(&result)) {
+  if (const auto* answer = std::get_if<PlainResponse>(&result)) {
     return answer->leaving ? "leaving" : "answer";
   }
   return std::holds_alternative<PlainNeverSent>(result) ? "never-sent" : "maybe-sent";
@@ -224,7 +224,7 @@
     CPPUNIT_ASSERT(!request.cacheHandle.empty());
     std::size_t computed = 99'999;
     target.generate(request, kStall, [&](const EngineEvent& event) {
-      const auto* word = std::get_if<ComputedWord>(&event);
+      const auto* word = std::get_if<ComputedTokens>(&event);
       if (word != nullptr) computed = word->tokens;
       return false;
     });
@@ -240,7 +240,7 @@
                                         "application/json",
                                         std::string("{\"fencingToken\":") + token + "}",
                                         {}});
-      return std::get<HttpAnswer>(result).status;
+      return std::get<HttpResponse>(result).status;
     };
     CPPUNIT_ASSERT_EQUAL(200, order("5"));
     CPPUNIT_ASSERT_EQUAL(200, order("6"));
--- a/test/scenario/Caller.cpp
+++ b/test/scenario/Caller.cpp
@@ -12,9 +12,9 @@
 namespace Scenario {
 namespace {
 
-using Hallchute::HttpAnswer;
-using Hallchute::HttpCall;
 using Hallchute::HttpExchange;
+using Hallchute::HttpRequest;
+using Hallchute::HttpResponse;
 using Hallchute::JsonObject;
 using Hallchute::Millis;
 
@@ -49,7 +49,7 @@
   return part ? part->optValue<std::string>("content", "") : std::string();
 }
 
-void readHead(const HttpAnswer& answer, CallResult& result) {
+void readHead(const HttpResponse& answer, CallResult& result) {
   result.status = answer.status;
   result.outcome = answer.header("Hallchute-Outcome");
   const std::string request = answer.header("Hallchute-Request");
@@ -96,14 +96,15 @@
   json->set("messages", messages);
   json->set("max_tokens", plan_.tokens);
   json->set("stream", plan_.stream);
-  HttpCall call{"POST", "/v1/chat/completions", "application/json", Hallchute::jsonText(json), {}};
+  HttpRequest call{
+      "POST", "/v1/chat/completions", "application/json", Hallchute::jsonText(json), {}};
   call.headers.emplace_back("Authorization", "Bearer " + plan_.token);
   if (!plan_.workClass.empty()) call.headers.emplace_back("Hallchute-Class", plan_.workClass);
   if (plan_.async) call.headers.emplace_back("Prefer", "respond-async");
   HttpExchange exchange({plan_.daemons.front(), "", kConnectLimit, kAnswerLimit});
   const bool streams = plan_.stream && !plan_.async;
   const auto result = streams ? exchange.open(call) : exchange.run(call);
-  if (const auto* answer = std::get_if<HttpAnswer>(&result)) {
+  if (const auto* answer = std::get_if<HttpResponse>(&result)) {
     readHead(*answer, result_);
     if (answer->status == 200 && streams) readStream(exchange.stream());
     if (answer->status == 200 && !streams) {
@@ -126,7 +127,7 @@
   if (result_.request.empty()) return false;
   std::this_thread::sleep_for(kComeBackPause);
   ++result_.resumptions;
-  HttpCall call;
+  HttpRequest call;
   call.target = "/v1/requests/" + result_.request;
   call.headers.emplace_back("Authorization", "Bearer " + plan_.token);
   call.headers.emplace_back("Accept", "text/event-stream");
@@ -134,7 +135,7 @@
   const std::string& daemon = plan_.daemons[attempt % plan_.daemons.size()];
   HttpExchange exchange({daemon, "", kConnectLimit, kAnswerLimit});
   const auto result = exchange.open(call);
-  const auto* answer = std::get_if<HttpAnswer>(&result);
+  const auto* answer = std::get_if<HttpResponse>(&result);
   if (answer == nullptr) return true;
   if (answer->status == 200) {
     readHead(*answer, result_);
@@ -178,14 +179,14 @@
 }
 
 void Caller::orderOnce() {
-  HttpCall call{
+  HttpRequest call{
       "POST", "/v1/services/" + plan_.service + "/orders", "application/json", plan_.body, {}};
   call.headers.emplace_back("Authorization", "Bearer " + plan_.token);
   call.headers.emplace_back("Hallchute-Class", "order");
   if (!plan_.key.empty()) call.headers.emplace_back("Idempotency-Key", plan_.key);
   HttpExchange exchange({plan_.daemons.front(), "", kConnectLimit, kAnswerLimit});
   const auto result = exchange.run(call);
-  const auto* answer = std::get_if<HttpAnswer>(&result);
+  const auto* answer = std::get_if<HttpResponse>(&result);
   if (answer == nullptr) return;
   readHead(*answer, result_);
   result_.done = true;
--- a/test/scenario/Fleet.cpp
+++ b/test/scenario/Fleet.cpp
@@ -18,9 +18,9 @@
 namespace Scenario {
 namespace {
 
-using Hallchute::HttpAnswer;
-using Hallchute::HttpCall;
 using Hallchute::HttpExchange;
+using Hallchute::HttpRequest;
+using Hallchute::HttpResponse;
 using Hallchute::JsonObject;
 using Hallchute::jsonText;
 using Hallchute::Millis;
@@ -165,7 +165,7 @@
 
 void Fleet::awaitHealth(const Node& node) {
   waitFor(node.name + " to answer", kStartLimit, [&] {
-    HttpCall call;
+    HttpRequest call;
     call.target = "/healthz";
     HttpExchange exchange({node.address, "", kCallLimit, kCallLimit});
     if (node.kind != Kind::daemon) {
@@ -173,7 +173,7 @@
       call.target = "/control/none";
       call.body = "{}";
     }
-    return std::holds_alternative<HttpAnswer>(exchange.run(call));
+    return std::holds_alternative<HttpResponse>(exchange.run(call));
   });
 }
 
@@ -242,7 +242,7 @@
                           const std::string& json) {
   HttpExchange exchange({node(name).address, "", kCallLimit, kCallLimit});
   const auto result = exchange.run({"POST", path, "application/json", json, {}});
-  const auto* answer = std::get_if<HttpAnswer>(&result);
+  const auto* answer = std::get_if<HttpResponse>(&result);
   if (answer == nullptr) throw std::runtime_error(name + " gives no answer at " + path);
   Hallchute::Findings findings;
   return Hallchute::parseJsonObject(answer->body, findings);
@@ -250,21 +250,21 @@
 
 std::string Fleet::operatorGet(const std::string& name, const std::string& path) {
   HttpExchange exchange({node(name).operatorAddress, "", kCallLimit, kCallLimit});
-  HttpCall call;
+  HttpRequest call;
   call.target = path;
   call.headers.emplace_back("Authorization", std::string("Bearer ") + kOperatorToken);
   const auto result = exchange.run(call);
-  const auto* answer = std::get_if<HttpAnswer>(&result);
+  const auto* answer = std::get_if<HttpResponse>(&result);
   return answer != nullptr ? answer->body : "{}";
 }
 
 std::pair<int, std::string> Fleet::operatorPost(const std::string& name, const std::string& path,
                                                 const std::string& body) {
   HttpExchange exchange({node(name).operatorAddress, "", kCallLimit, kCallLimit});
-  HttpCall call{"POST", path, "application/json", body, {}};
+  HttpRequest call{"POST", path, "application/json", body, {}};
   call.headers.emplace_back("Authorization", std::string("Bearer ") + kOperatorToken);
   const auto result = exchange.run(call);
-  const auto* answer = std::get_if<HttpAnswer>(&result);
+  const auto* answer = std::get_if<HttpResponse>(&result);
   return answer != nullptr ? std::pair(answer->status, answer->body) : std::pair(0, std::string());
 }
 
