--- a/Hallchute/src/Capacity/ReplicaOrder.h
+++ b/Hallchute/src/Capacity/ReplicaOrder.h
@@ -15,7 +15,7 @@
 /// \ingroup Capacity
 struct ReplicaGroup {
   ServiceName service;
-  DomainName domain;
+  FailureDomainName domain;
   /// Cheaper, but the platform may reclaim them.
   bool reclaimable = false;
   auto operator<=>(const ReplicaGroup&) const = default;
--- a/Hallchute/src/Capacity/ReplicaPlanner.cpp
+++ b/Hallchute/src/Capacity/ReplicaPlanner.cpp
@@ -13,7 +13,7 @@
 /// the boot, and half of one for the order and the replica's entry in the directory.
 constexpr double kBootTimesBeforeFallback = 1.5;
 
-double priceOf(const ReplicaLimits& limits, const DomainName& domain) {
+double priceOf(const ReplicaLimits& limits, const FailureDomainName& domain) {
   const auto it = limits.domainPrices.find(domain);
   return it == limits.domainPrices.end() ? 1.0 : it->second;
 }
@@ -102,7 +102,7 @@
   for (const GatewayService& service : view.services) {
     if (!service.replicas) continue;
     Domains domains;
-    std::set<DomainName>& seen = knownDomains_[service.name];
+    std::set<FailureDomainName>& seen = knownDomains_[service.name];
     for (const UpstreamRecord& upstream : view.upstreams) {
       if (upstream.service != service.name) continue;
       seen.insert(upstream.domain);
@@ -110,7 +110,7 @@
       ReplicaCounts& present = domains[upstream.domain];
       ++(upstream.reclaimable ? present.reclaimable : present.onDemand);
     }
-    for (const DomainName& domain : seen) domains.try_emplace(domain);
+    for (const FailureDomainName& domain : seen) domains.try_emplace(domain);
     if (domains.empty()) continue;
     observeInitialReplicas(service, domains, now);
     const std::uint32_t need = updateNeed(service, view, domains.size(), now);
@@ -119,9 +119,9 @@
   return orders;
 }
 
-std::map<DomainName, std::uint32_t> ReplicaPlanner::reclaimableTargets(
+std::map<FailureDomainName, std::uint32_t> ReplicaPlanner::reclaimableTargets(
     const GatewayService& service, const Domains& domains, std::uint32_t need, Instant now) const {
-  std::map<DomainName, std::uint32_t> wanted;
+  std::map<FailureDomainName, std::uint32_t> wanted;
   if (!service.replicas->reclaimablePrice) return wanted;
   std::uint32_t orderableDomains = 0;
   for (const auto& [domain, present] : domains) {
@@ -138,9 +138,9 @@
   return wanted;
 }
 
-std::uint32_t ReplicaPlanner::expectedReady(const GatewayService& service,
-                                            const std::map<DomainName, std::uint32_t>& wanted,
-                                            std::uint32_t ready, Instant now) {
+std::uint32_t ReplicaPlanner::expectedReady(
+    const GatewayService& service, const std::map<FailureDomainName, std::uint32_t>& wanted,
+    std::uint32_t ready, Instant now) {
   std::uint32_t expected = 0;
   for (const auto& [domain, count] : wanted) expected += count;
   if (expected <= ready) {
@@ -153,12 +153,11 @@
   return now - since <= bootTimeout ? expected : ready;
 }
 
-std::map<DomainName, std::uint32_t> ReplicaPlanner::onDemandTargets(const GatewayService& service,
-                                                                    const Domains& domains,
-                                                                    std::uint32_t need,
-                                                                    Reclaimable reclaimable) const {
+std::map<FailureDomainName, std::uint32_t> ReplicaPlanner::onDemandTargets(
+    const GatewayService& service, const Domains& domains, std::uint32_t need,
+    Reclaimable reclaimable) const {
   const ReplicaLimits& limits = *service.replicas;
-  std::vector<DomainName> byPrice;
+  std::vector<FailureDomainName> byPrice;
   for (const auto& [domain, present] : domains) byPrice.push_back(domain);
   std::stable_sort(byPrice.begin(), byPrice.end(), [&](const auto& a, const auto& b) {
     return priceOf(limits, a) < priceOf(limits, b);
@@ -166,7 +165,7 @@
   const auto uncovered = [&](std::uint32_t covered) {
     return std::max(policy_.minOnDemandReplicas, need > covered ? need - covered : 0);
   };
-  std::map<DomainName, std::uint32_t> wanted;
+  std::map<FailureDomainName, std::uint32_t> wanted;
   std::uint32_t total = 0;
   // First pass: existing on-demand replicas stay until reclaimable ones are ready to replace them.
   // Second pass: more are ordered only for the need that pending reclaimable ones don't cover, as
@@ -174,7 +173,7 @@
   for (const bool keepExisting : {true, false}) {
     const std::uint32_t target =
         uncovered(keepExisting ? reclaimable.ready : reclaimable.expectedReady);
-    for (const DomainName& domain : byPrice) {
+    for (const FailureDomainName& domain : byPrice) {
       const ReplicaCounts& present = domains.at(domain);
       const std::uint32_t room = limits.most - std::min(limits.most, present.reclaimable);
       const std::uint32_t bound = keepExisting ? std::min(room, present.onDemand) : room;
--- a/Hallchute/src/Capacity/ReplicaPlanner.h
+++ b/Hallchute/src/Capacity/ReplicaPlanner.h
@@ -81,7 +81,7 @@
     std::uint32_t onDemand = 0;
     std::uint32_t reclaimable = 0;
   };
-  using Domains = std::map<DomainName, ReplicaCounts>;
+  using Domains = std::map<FailureDomainName, ReplicaCounts>;
 
   /// State of a service's demand since this planner was started or reset.
   struct Demand {
@@ -102,20 +102,22 @@
                             std::size_t domains) const;
   void planService(const GatewayService& service, const Domains& domains, std::uint32_t need,
                    Instant now, std::vector<ReplicaOrder>& orders);
-  std::map<DomainName, std::uint32_t> reclaimableTargets(const GatewayService& service,
-                                                         const Domains& domains, std::uint32_t need,
-                                                         Instant now) const;
+  std::map<FailureDomainName, std::uint32_t> reclaimableTargets(const GatewayService& service,
+                                                                const Domains& domains,
+                                                                std::uint32_t need,
+                                                                Instant now) const;
   /// Reclaimable replicas that are ready now, and that will be once all ordered ones have started.
   struct Reclaimable {
     std::uint32_t ready = 0;
     std::uint32_t expectedReady = 0;
   };
   std::uint32_t expectedReady(const GatewayService& service,
-                              const std::map<DomainName, std::uint32_t>& wanted,
+                              const std::map<FailureDomainName, std::uint32_t>& wanted,
                               std::uint32_t ready, Instant now);
-  std::map<DomainName, std::uint32_t> onDemandTargets(const GatewayService& service,
-                                                      const Domains& domains, std::uint32_t need,
-                                                      Reclaimable reclaimable) const;
+  std::map<FailureDomainName, std::uint32_t> onDemandTargets(const GatewayService& service,
+                                                             const Domains& domains,
+                                                             std::uint32_t need,
+                                                             Reclaimable reclaimable) const;
   void addIfChanged(const ReplicaOrder& order, std::uint32_t present, Instant now,
                     std::vector<ReplicaOrder>& orders);
   bool refused(const ReplicaGroup& group, Instant now) const;
@@ -131,7 +133,7 @@
   std::map<ServiceName, Instant> bootingSince_;
   /// Failure domains in which a service ever had replicas: its groups remain there even if all
   /// replicas are gone.
-  std::map<ServiceName, std::set<DomainName>> knownDomains_;
+  std::map<ServiceName, std::set<FailureDomainName>> knownDomains_;
 };
 
 }  // namespace Hallchute
--- a/Hallchute/src/Cli/ServeCommand.cpp
+++ b/Hallchute/src/Cli/ServeCommand.cpp
@@ -30,7 +30,7 @@
   });
   if (read != ExitCode::ok) return read;
   const sigset_t signals = blockSignals(kStopSignals);
-  startLogging(logLevelNamed(startup.logLevel), startup.daemon.str(), startup.domain.str());
+  startLogging(parseLogLevel(startup.logLevel), startup.daemon.str(), startup.domain.str());
   try {
     Daemon daemon(std::move(startup));
     std::atomic<bool> done{false};
--- a/Hallchute/src/Core/Id.h
+++ b/Hallchute/src/Core/Id.h
@@ -31,9 +31,9 @@
 using HostId = Id<struct HostTag>;
 using UpstreamId = Id<struct UpstreamTag>;
 using ServiceName = Id<struct ServiceTag>;
-using DomainName = Id<struct FailureDomainTag>;
+using FailureDomainName = Id<struct FailureDomainTag>;
 using OrganisationName = Id<struct OrganisationTag>;
-using ClassName = Id<struct WorkClassTag>;
+using WorkClassName = Id<struct WorkClassTag>;
 using RequestId = Id<struct RequestTag>;
 
 }  // namespace Hallchute
--- a/Hallchute/src/Core/Refusal.cpp
+++ b/Hallchute/src/Core/Refusal.cpp
@@ -20,13 +20,13 @@
     ReasonRow{RefusalReason::forbidden, 403, "forbidden"},
     ReasonRow{RefusalReason::notFound, 404, "not-found"},
     ReasonRow{RefusalReason::tooLarge, 413, "too-large"},
-    ReasonRow{RefusalReason::keyRequired, 400, "idempotency-key-required"},
-    ReasonRow{RefusalReason::keyReused, 422, "idempotency-key-reused"},
+    ReasonRow{RefusalReason::idempotencyKeyRequired, 400, "idempotency-key-required"},
+    ReasonRow{RefusalReason::idempotencyKeyReused, 422, "idempotency-key-reused"},
     ReasonRow{RefusalReason::inProgress, 409, "in-progress"},
     ReasonRow{RefusalReason::overloaded, 503, "overloaded"},
     ReasonRow{RefusalReason::organisationLimit, 429, "organisation-limit"},
     ReasonRow{RefusalReason::noUpstream, 503, "no-upstream"},
-    ReasonRow{RefusalReason::platformOut, 503, "platform-out"},
+    ReasonRow{RefusalReason::platformOutage, 503, "platform-out"},
     ReasonRow{RefusalReason::draining, 503, "draining"},
     ReasonRow{RefusalReason::upstreamFailed, 502, "upstream-failed"},
     ReasonRow{RefusalReason::outcomeUnknown, 502, "outcome-unknown"},
@@ -45,7 +45,7 @@
   return findRow(reason).status;
 }
 
-std::string_view reasonWord(RefusalReason reason) {
+std::string_view reasonName(RefusalReason reason) {
   return findRow(reason).name;
 }
 
--- a/Hallchute/src/Core/Refusal.h
+++ b/Hallchute/src/Core/Refusal.h
@@ -20,13 +20,13 @@
   forbidden,
   notFound,
   tooLarge,
-  keyRequired,
-  keyReused,
+  idempotencyKeyRequired,
+  idempotencyKeyReused,
   inProgress,
   overloaded,
   organisationLimit,
   noUpstream,
-  platformOut,
+  platformOutage,
   draining,
   upstreamFailed,
   outcomeUnknown,
@@ -49,7 +49,7 @@
 
 /// \brief The stable machine-readable name of \p reason, used in problem details and metrics.
 /// \ingroup Core
-std::string_view reasonWord(RefusalReason reason);
+std::string_view reasonName(RefusalReason reason);
 
 }  // namespace Hallchute
 
--- a/Hallchute/src/Core/RunOutcome.h
+++ b/Hallchute/src/Core/RunOutcome.h
@@ -14,7 +14,7 @@
 
 /// \brief The value of the `Hallchute-Outcome` header for \p outcome.
 /// \ingroup Core
-constexpr std::string_view outcomeWord(RunOutcome outcome) {
+constexpr std::string_view outcomeName(RunOutcome outcome) {
   switch (outcome) {
     case RunOutcome::notRun:
       return "not-run";
--- a/Hallchute/src/Daemon/AnswerRunner.cpp
+++ b/Hallchute/src/Daemon/AnswerRunner.cpp
@@ -205,7 +205,7 @@
                          exportedCache_.empty() ? "way=\"recompute\"" : "way=\"cache\"");
     excluded_.push_back(grant.upstream());
     resumption_ = true;
-    logLine(LogLevel::info, "migrated away from upstream " + grant.upstream().str());
+    logMessage(LogLevel::info, "migrated away from upstream " + grant.upstream().str());
   } else {
     engine.cancel(request, epoch);
   }
@@ -214,8 +214,8 @@
 }
 
 AnswerRunner::Next AnswerRunner::onFailure(ScopedGrant& grant, const StreamResult& result) {
-  logLine(LogLevel::warning,
-          "attempt at upstream " + grant.upstream().str() + " failed: " + result.detail);
+  logMessage(LogLevel::warning,
+             "attempt at upstream " + grant.upstream().str() + " failed: " + result.detail);
   excluded_.push_back(grant.upstream());
   if (excluded_.size() > kMaxExcludedUpstreams) excluded_.erase(excluded_.begin());
   dispatched_ = dispatched_ || result.end == StreamEnd::broke;
--- a/Hallchute/src/Daemon/CallerRequest.cpp
+++ b/Hallchute/src/Daemon/CallerRequest.cpp
@@ -65,8 +65,8 @@
                                                         const Caller& caller,
                                                         const ServiceName& service) {
   const SettingsTree& tree = caller.settings->tree;
-  const ClassName requestedName(request.get("Hallchute-Class", ""));
-  const ClassName& name =
+  const WorkClassName requestedName(request.get("Hallchute-Class", ""));
+  const WorkClassName& name =
       requestedName.empty() ? tree.services.at(service).defaultClass : requestedName;
   const auto it = tree.workClasses.find(name);
   if (it == tree.workClasses.end()) {
--- a/Hallchute/src/Daemon/CompletionHandler.cpp
+++ b/Hallchute/src/Daemon/CompletionHandler.cpp
@@ -52,7 +52,7 @@
   response.set("Hallchute-Request", requestId_);
   if (services_.draining) response.setKeepAlive(false);
   const std::optional<Refusal> refusal = handle(request, response);
-  const std::string result = refusal ? std::string(reasonWord(refusal->reason)) : "served";
+  const std::string result = refusal ? std::string(reasonName(refusal->reason)) : "served";
   services_.context.metrics.add("hallchute_requests_total",
                                 "kind=\"model\",result=\"" + result + "\"");
   if (refusal) sendProblem(response, *refusal, requestId_);
@@ -109,7 +109,7 @@
       makeJobSpec(generation, caller.settings->tree, services_.context.domain));
   if (generation.durable && !services_.records.create(*job)) {
     if (async || !generation.workClass->serveWithoutRecord) {
-      return Refusal{RefusalReason::platformOut, "the request's record can't be written",
+      return Refusal{RefusalReason::platformOutage, "the request's record can't be written",
                      RunOutcome::notRun, kPlatformRetryAfter};
     }
     generation.durable = false;
--- a/Hallchute/src/Daemon/Control.cpp
+++ b/Hallchute/src/Daemon/Control.cpp
@@ -88,9 +88,9 @@
                         },
                         [&](const LongPauseDetected& pause) {
                           metrics_.add("hallchute_pauses_total", "");
-                          logLine(LogLevel::warning, "process was paused for " +
-                                                         std::to_string(pause.gap.count()) +
-                                                         " ms; rejoining the fleet");
+                          logMessage(LogLevel::warning, "process was paused for " +
+                                                            std::to_string(pause.gap.count()) +
+                                                            " ms; rejoining the fleet");
                         },
                         [&](const LeaveDiscovered& discovered) {
                           onLeaveDiscovered(discovered.announcement);
@@ -124,8 +124,8 @@
     if (ownLeave_) ownLeave_(announcement.remaining);
     return;
   }
-  logLine(LogLevel::info, "upstream " + announcement.upstream.str() + " will leave in " +
-                              std::to_string(announcement.remaining.count()) + " ms");
+  logMessage(LogLevel::info, "upstream " + announcement.upstream.str() + " will leave in " +
+                                 std::to_string(announcement.remaining.count()) + " ms");
   metrics_.add("hallchute_leaves_total", "");
   directory_.noteLeave(announcement.upstream, announcement.remaining, clockNow());
   owners_.refresh(clockNow());
@@ -180,8 +180,8 @@
   membership_.setRevision(changes_.revision());
   owners_.refresh(clockNow());
   metrics_.set("hallchute_settings_revision", "", static_cast<double>(changes_.revision()));
-  logLine(LogLevel::info,
-          "settings revision " + std::to_string(changes_.revision()) + " is now in force");
+  logMessage(LogLevel::info,
+             "settings revision " + std::to_string(changes_.revision()) + " is now in force");
 }
 
 void Control::updateHosts(const HostList& hosts) {
--- a/Hallchute/src/Daemon/Daemon.cpp
+++ b/Hallchute/src/Daemon/Daemon.cpp
@@ -95,7 +95,7 @@
   maintenanceThread_ = std::thread([this] { runMaintenance(); });
   operatorServer_.start();
   callerServer_.start();
-  logLine(LogLevel::info, "daemon " + startup_.daemon.str() + " serves requests");
+  logMessage(LogLevel::info, "daemon " + startup_.daemon.str() + " serves requests");
   Millis limit{0};
   {
     std::unique_lock lock(mutex_);
@@ -109,7 +109,7 @@
   maintenanceThread_.join();
   follower_.stop();
   control_.stop();
-  logLine(LogLevel::info, "daemon " + startup_.daemon.str() + " has stopped");
+  logMessage(LogLevel::info, "daemon " + startup_.daemon.str() + " has stopped");
 }
 
 /// Periodically writes pending records and adopts requests orphaned by other daemons.
@@ -132,7 +132,7 @@
 
 void Daemon::adoptOrphans() {
   for (const HandOverRecord& record : records_.claimOrphans(clockNow())) {
-    logLine(LogLevel::info, "orphaned request resumes on this daemon: " + record.request.str());
+    logMessage(LogLevel::info, "orphaned request resumes on this daemon: " + record.request.str());
     metrics_.add("hallchute_adopted_total", "");
     starter_.start(makeJob(record, settings_.get()->tree, startup_.domain));
   }
--- a/Hallchute/src/Daemon/Drain.cpp
+++ b/Hallchute/src/Daemon/Drain.cpp
@@ -35,7 +35,7 @@
     : services_(services), control_(control), server_(server) {}
 
 void Drain::run(Millis limit, const std::atomic<bool>& stopNow) {
-  logLine(LogLevel::info, "draining for at most " + std::to_string(limit.count()) + " ms");
+  logMessage(LogLevel::info, "draining for at most " + std::to_string(limit.count()) + " ms");
   const Instant until = clockNow() + limit;
   services_.draining = true;
   control_.announceOwnLeave();
@@ -69,7 +69,8 @@
     }
     services_.records.recordHandOver(*job, peer);
     job->markHandedOver(peer);
-    logLine(LogLevel::info, job->spec().request.str() + " was handed over to daemon " + peer.str());
+    logMessage(LogLevel::info,
+               job->spec().request.str() + " was handed over to daemon " + peer.str());
   }
 }
 
--- a/Hallchute/src/Daemon/GrantBroker.cpp
+++ b/Hallchute/src/Daemon/GrantBroker.cpp
@@ -87,8 +87,8 @@
 
 std::vector<ShardKey> GrantBroker::shardsFor(const GrantSpec& spec) const {
   std::vector<ShardKey> shards;
-  const DomainName& ownDomain = membership_.self().domain;
-  const auto add = [&](const DomainName& domain) {
+  const FailureDomainName& ownDomain = membership_.self().domain;
+  const auto add = [&](const FailureDomainName& domain) {
     const std::size_t live = directory_.live(spec.service, domain).size();
     if (live == 0) return;
     for (const std::uint32_t index : shardOrder(spec.wanted.affinity, shardCount(live))) {
@@ -96,7 +96,7 @@
     }
   };
   add(ownDomain);
-  for (const DomainName& domain : directory_.domainsOf(spec.service)) {
+  for (const FailureDomainName& domain : directory_.domainsOf(spec.service)) {
     if (domain != ownDomain) add(domain);
   }
   return shards;
--- a/Hallchute/src/Daemon/JobFactory.cpp
+++ b/Hallchute/src/Daemon/JobFactory.cpp
@@ -21,7 +21,7 @@
 }  // namespace
 
 JobSpec makeJobSpec(const JobParameters& parameters, const SettingsTree& tree,
-                    const DomainName& domain) {
+                    const FailureDomainName& domain) {
   const PolicyScope scope{domain, parameters.service, parameters.organisation->name};
   const PrefixBlocks blocks = prefixBlocks(parameters.prompt);
   JobSpec spec;
@@ -45,7 +45,7 @@
 }
 
 std::shared_ptr<Job> makeJob(const HandOverRecord& record, const SettingsTree& tree,
-                             const DomainName& domain) {
+                             const FailureDomainName& domain) {
   Organisation organisation;
   if (const auto it = tree.organisations.find(record.organisation);
       it != tree.organisations.end()) {
--- a/Hallchute/src/Daemon/JobFactory.h
+++ b/Hallchute/src/Daemon/JobFactory.h
@@ -35,12 +35,12 @@
 /// \brief Builds the specification of a job with the policy values in effect.
 /// \ingroup Daemon
 JobSpec makeJobSpec(const JobParameters& parameters, const SettingsTree& tree,
-                    const DomainName& domain);
+                    const FailureDomainName& domain);
 
 /// \brief Creates a job that resumes from the record of another daemon.
 /// \ingroup Daemon
 std::shared_ptr<Job> makeJob(const HandOverRecord& record, const SettingsTree& tree,
-                             const DomainName& domain);
+                             const FailureDomainName& domain);
 
 }  // namespace Hallchute
 
--- a/Hallchute/src/Daemon/JobRecords.cpp
+++ b/Hallchute/src/Daemon/JobRecords.cpp
@@ -72,8 +72,8 @@
   context_.metrics.add("hallchute_platform_calls_total", "kind=\"job-write\"");
   const auto reply = context_.platform.write(key, handOverText(record), recordState.version);
   if (std::holds_alternative<Done<std::uint64_t>>(reply)) return;
-  logLine(LogLevel::warning,
-          "the hand-over of request " + job.spec().request.str() + " could not be recorded");
+  logMessage(LogLevel::warning,
+             "the hand-over of request " + job.spec().request.str() + " could not be recorded");
 }
 
 void JobRecords::scheduleTakeOver(const RequestId& request) {
@@ -149,8 +149,8 @@
   Findings findings;
   const HandOverRecord record = parseHandOver(found->value.value, findings);
   if (record.generation > recordState.generation) {
-    logLine(LogLevel::warning,
-            job.spec().request.str() + " was taken over and now runs on " + record.holder.str());
+    logMessage(LogLevel::warning,
+               job.spec().request.str() + " was taken over and now runs on " + record.holder.str());
     return false;
   }
   recordState.version = found->value.version;
@@ -216,7 +216,7 @@
     return Refusal{RefusalReason::notFound, "no such request is known", RunOutcome::unknown,
                    std::nullopt};
   }
-  return Refusal{RefusalReason::platformOut, "the request is not here and the platform is out",
+  return Refusal{RefusalReason::platformOutage, "the request is not here and the platform is out",
                  RunOutcome::unknown, kPlatformRetryAfter};
 }
 
--- a/Hallchute/src/Daemon/JobSpec.h
+++ b/Hallchute/src/Daemon/JobSpec.h
@@ -19,7 +19,7 @@
   RequestId request;
   OrganisationName organisation;
   ServiceName service;
-  ClassName workClass;
+  WorkClassName workClass;
   double weight = 1;
   std::int64_t priority = 5;
   bool durable = false;
--- a/Hallchute/src/Daemon/OnceRecordStore.cpp
+++ b/Hallchute/src/Daemon/OnceRecordStore.cpp
@@ -57,7 +57,7 @@
   if (pending_.size() <= kMaxPending) return;
   pending_.pop_front();
   context_.metrics.add("hallchute_once_outcomes_lost_total", "");
-  logLine(LogLevel::error, "dropped the oldest unstored outcome: too many outcomes are pending");
+  logMessage(LogLevel::error, "dropped the oldest unstored outcome: too many outcomes are pending");
 }
 
 std::size_t OnceRecordStore::flush() {
--- a/Hallchute/src/Daemon/OperatorHandler.cpp
+++ b/Hallchute/src/Daemon/OperatorHandler.cpp
@@ -141,9 +141,10 @@
 OperatorHandler::Reply OperatorHandler::explain(const Poco::URI& uri) const {
   const auto key = findPolicyKey(queryParameter(uri, "key", ""));
   if (!key) return {404, "application/json", messageJson("key names no policy number")};
-  const PolicyScope scope{DomainName(queryParameter(uri, "domain", services_.startup.domain.str())),
-                          ServiceName(queryParameter(uri, "service", "")),
-                          OrganisationName(queryParameter(uri, "organisation", ""))};
+  const PolicyScope scope{
+      FailureDomainName(queryParameter(uri, "domain", services_.startup.domain.str())),
+      ServiceName(queryParameter(uri, "service", "")),
+      OrganisationName(queryParameter(uri, "organisation", ""))};
   const auto activeSettings = services_.settings.get();
   const ResolvedPolicy answer = activeSettings->tree.explain(*key, scope);
   JsonObject json = newObject();
--- a/Hallchute/src/Daemon/PlainHandler.cpp
+++ b/Hallchute/src/Daemon/PlainHandler.cpp
@@ -54,7 +54,7 @@
   response.set("Hallchute-Request", request_);
   if (services_.draining) response.setKeepAlive(false);
   const std::optional<Refusal> refusal = handle(request, response);
-  const std::string result = refusal ? std::string(reasonWord(refusal->reason)) : "served";
+  const std::string result = refusal ? std::string(reasonName(refusal->reason)) : "served";
   services_.context.metrics.add("hallchute_requests_total",
                                 "kind=\"plain\",result=\"" + result + "\"");
   if (refusal) sendProblem(response, *refusal, request_);
@@ -92,7 +92,7 @@
   job.idempotencyKey = request.get("Idempotency-Key", "");
   if (!workClass.repeatable &&
       (job.idempotencyKey.empty() || job.idempotencyKey.size() > kMaxIdempotencyKeyBytes)) {
-    return Refusal{RefusalReason::keyRequired,
+    return Refusal{RefusalReason::idempotencyKeyRequired,
                    "work that must not repeat needs an Idempotency-Key of 1 to 255 bytes",
                    RunOutcome::notRun, std::nullopt};
   }
--- a/Hallchute/src/Daemon/Problem.cpp
+++ b/Hallchute/src/Daemon/Problem.cpp
@@ -16,12 +16,12 @@
 
 std::string problemDocument(const Refusal& refusal, std::string_view request) {
   JsonObject json = new Poco::JSON::Object;
-  const std::string word(reasonWord(refusal.reason));
+  const std::string word(reasonName(refusal.reason));
   json->set("type", "urn:hallchute:problem:" + word);
   json->set("title", word);
   json->set("status", httpStatus(refusal.reason));
   json->set("detail", refusal.detail);
-  json->set("outcome", std::string(outcomeWord(refusal.outcome)));
+  json->set("outcome", std::string(outcomeName(refusal.outcome)));
   if (!request.empty()) json->set("request", std::string(request));
   if (refusal.retryAfter) json->set("retryAfterMs", refusal.retryAfter->count());
   return jsonText(json);
@@ -33,7 +33,7 @@
   response.setStatusAndReason(
       static_cast<Poco::Net::HTTPResponse::HTTPStatus>(httpStatus(refusal.reason)));
   response.setContentType("application/problem+json");
-  response.set("Hallchute-Outcome", std::string(outcomeWord(refusal.outcome)));
+  response.set("Hallchute-Outcome", std::string(outcomeName(refusal.outcome)));
   if (refusal.retryAfter) {
     const auto seconds = (refusal.retryAfter->count() + kMsPerSecond - 1) / kMsPerSecond;
     response.set("Retry-After", std::to_string(seconds));
--- a/Hallchute/src/Daemon/SettingsEditor.cpp
+++ b/Hallchute/src/Daemon/SettingsEditor.cpp
@@ -41,7 +41,7 @@
     if (findings.empty()) {
       changes.push_back(std::move(change));
     } else {
-      logLine(LogLevel::error, object.key + " is malformed: " + describe(findings));
+      logMessage(LogLevel::error, object.key + " is malformed: " + describe(findings));
     }
   }
   return Done<std::vector<SettingsChange>>{std::move(changes)};
@@ -144,7 +144,7 @@
   snapshot->set("settings", json);
   const auto written = platform_.write(kSnapshotKey, jsonText(snapshot), version);
   if (!std::holds_alternative<Done<std::uint64_t>>(written)) {
-    logLine(LogLevel::warning, "failed to write the settings snapshot");
+    logMessage(LogLevel::warning, "failed to write the settings snapshot");
   }
 }
 
--- a/Hallchute/src/Daemon/StartupFile.cpp
+++ b/Hallchute/src/Daemon/StartupFile.cpp
@@ -30,7 +30,7 @@
   if (!json) return file;
   JsonReader root(json, "", findings);
   file.daemon = DaemonId(root.text("daemon", true));
-  file.domain = DomainName(root.text("failureDomain", true));
+  file.domain = FailureDomainName(root.text("failureDomain", true));
   file.logLevel = root.oneOf("logLevel", kLogLevels);
   for (const char* section : {"callers", "operators", "peers", "platform"}) {
     if (!root.has(section)) root.report(section, "is missing");
--- a/Hallchute/src/Daemon/StartupFile.h
+++ b/Hallchute/src/Daemon/StartupFile.h
@@ -19,7 +19,7 @@
 /// \ingroup Daemon
 struct StartupFile {
   DaemonId daemon;
-  DomainName domain;
+  FailureDomainName domain;
   /// Listen address for callers, `ip:port`.
   std::string callerListen;
   int maxCallerConnections = 512;
--- a/Hallchute/src/Daemon/TrafficContext.h
+++ b/Hallchute/src/Daemon/TrafficContext.h
@@ -25,7 +25,7 @@
 /// \ingroup Daemon
 struct TrafficContext {
   DaemonId daemon;
-  DomainName domain;
+  FailureDomainName domain;
   std::string ownIp;
   SettingsStore& settings;
   Metrics& metrics;
--- a/Hallchute/src/Fleet/FleetReport.h
+++ b/Hallchute/src/Fleet/FleetReport.h
@@ -21,7 +21,7 @@
 struct FleetMember {
   FleetMember() = default;
   FleetMember(DaemonId id, std::string peerAddress, std::uint64_t startIncarnation,
-              DomainName failureDomain = {}, std::uint32_t hostCapacity = 0)
+              FailureDomainName failureDomain = {}, std::uint32_t hostCapacity = 0)
       : daemon(std::move(id)),
         address(std::move(peerAddress)),
         incarnation(startIncarnation),
@@ -33,7 +33,7 @@
   std::string address;
   /// Increases with each start of the daemon's process.
   std::uint64_t incarnation = 0;
-  DomainName domain;
+  FailureDomainName domain;
   /// CPU capacity of its host in thousandths of a processor; the daemon with the most becomes
   /// relay.
   std::uint32_t capacity = 0;
@@ -73,7 +73,7 @@
 struct IncarnationUsage {
   DaemonId daemon;
   std::uint64_t incarnation = 0;
-  DomainName domain;
+  FailureDomainName domain;
   UsageByWindow usage;
   bool operator==(const IncarnationUsage&) const = default;
 };
--- a/Hallchute/src/Fleet/FleetRoster.cpp
+++ b/Hallchute/src/Fleet/FleetRoster.cpp
@@ -43,7 +43,7 @@
   if (election_ && now >= election_->at && now - election_->at < kElectionMaxAge) return *election_;
   Election found;
   found.at = now;
-  std::map<DomainName, const FleetMember*> highest{{self_.domain, &self_}};
+  std::map<FailureDomainName, const FleetMember*> highest{{self_.domain, &self_}};
   std::size_t recent = 1;
   for (const auto& [daemon, peer] : peers_) {
     if (FleetPeer::isRecent(peer.lastSeenAt, now, FleetPeer::kPeerRetention)) ++recent;
@@ -62,7 +62,7 @@
   return election(now).small;
 }
 
-std::vector<DaemonId> FleetRoster::highestRanked(const DomainName& domain, std::size_t most,
+std::vector<DaemonId> FleetRoster::highestRanked(const FailureDomainName& domain, std::size_t most,
                                                  Instant now) const {
   std::vector<const FleetMember*> members;
   if (self_.domain == domain) members.push_back(&self_);
@@ -78,7 +78,7 @@
   return ranked;
 }
 
-DaemonId FleetRoster::relayOf(const DomainName& domain, Instant now) const {
+DaemonId FleetRoster::relayOf(const FailureDomainName& domain, Instant now) const {
   const Election& found = election(now);
   const auto it = found.relays.find(domain);
   return it == found.relays.end() ? DaemonId() : it->second;
--- a/Hallchute/src/Fleet/FleetRoster.h
+++ b/Hallchute/src/Fleet/FleetRoster.h
@@ -50,7 +50,7 @@
   bool isSmall(Instant now) const;
   bool isRelay(Instant now) const;
   /// \brief The live daemon of a domain with the most capacity; empty if none is alive.
-  DaemonId relayOf(const DomainName& domain, Instant now) const;
+  DaemonId relayOf(const FailureDomainName& domain, Instant now) const;
   /// \brief The daemon that succeeds the own domain's relay; empty if there is none.
   DaemonId standby(Instant now) const;
   /// \brief Whether this daemon watches the store on behalf of its domain.
@@ -78,12 +78,12 @@
   struct Election {
     Instant at{};
     bool small = true;
-    std::map<DomainName, DaemonId> relays;
+    std::map<FailureDomainName, DaemonId> relays;
   };
 
   const Election& election(Instant now) const;
   /// The live daemons of a domain by precedence, at most \p most of them.
-  std::vector<DaemonId> highestRanked(const DomainName& domain, std::size_t most,
+  std::vector<DaemonId> highestRanked(const FailureDomainName& domain, std::size_t most,
                                       Instant now) const;
   bool isOtherProcess(const FleetPeer& peer, const FleetMember& member, bool confirmed,
                       Instant now) const;
--- a/Hallchute/src/Fleet/FleetUsage.cpp
+++ b/Hallchute/src/Fleet/FleetUsage.cpp
@@ -25,7 +25,7 @@
 }
 
 FleetUsage::IncarnationRecord& FleetUsage::incarnation(const DaemonId& daemon, std::uint64_t number,
-                                                       const DomainName& domain) {
+                                                       const FailureDomainName& domain) {
   IncarnationRecord& record = incarnations_[{daemon, number}];
   record.domain = domain;
   return record;
@@ -77,7 +77,7 @@
   raiseRecord(incarnation(report.daemon, report.incarnation, report.domain), kept);
 }
 
-void FleetUsage::noteDomainSums(const DomainName& domain, const UsageByWindow& sums) {
+void FleetUsage::noteDomainSums(const FailureDomainName& domain, const UsageByWindow& sums) {
   // Sums of the own domain may include this daemon's own counts.
   if (domain == self_.domain) return;
   UsageByWindow& known = reportedDomainSums_[domain];
@@ -108,7 +108,7 @@
 }
 
 UsageByWindow FleetUsage::forwardable() const {
-  std::map<DomainName, UsageByWindow> domains = domainSums_;
+  std::map<FailureDomainName, UsageByWindow> domains = domainSums_;
   for (const auto& [domain, sums] : reportedDomainSums_) raiseUsage(domains[domain], sums);
   UsageByWindow total;
   for (const auto& [domain, sums] : domains) addUsage(total, sums);
--- a/Hallchute/src/Fleet/FleetUsage.h
+++ b/Hallchute/src/Fleet/FleetUsage.h
@@ -32,7 +32,7 @@
   /// \brief Records the usage of an incarnation as reported by another daemon.
   void noteIncarnation(const IncarnationUsage& report);
   /// \brief Records the sums that a relay of another failure domain reports for its daemons.
-  void noteDomainSums(const DomainName& domain, const UsageByWindow& sums);
+  void noteDomainSums(const FailureDomainName& domain, const UsageByWindow& sums);
   /// \brief Records the sums that a relay reports to this daemon for all others.
   void noteFleetSums(const UsageByWindow& sums);
   /// \brief Drops windows before \p firstWindow, except those of incarnations that still report
@@ -62,7 +62,7 @@
  private:
   using Incarnation = std::pair<DaemonId, std::uint64_t>;
   struct IncarnationRecord {
-    DomainName domain;
+    FailureDomainName domain;
     UsageByWindow usage;
     /// Whether it has reported its own usage since windows were last dropped.
     bool selfReported = false;
@@ -70,7 +70,7 @@
 
   bool isSelf(const DaemonId& daemon, std::uint64_t incarnation) const;
   IncarnationRecord& incarnation(const DaemonId& daemon, std::uint64_t number,
-                                 const DomainName& domain);
+                                 const FailureDomainName& domain);
   /// Raises the counts of an incarnation to those reported, and its domain's sum accordingly.
   void raiseRecord(IncarnationRecord& record, const UsageByWindow& reported);
   void dropBefore(IncarnationRecord& record, std::int64_t firstWindow);
@@ -79,8 +79,8 @@
   std::map<Incarnation, IncarnationRecord> incarnations_;
   /// Sums of `incarnations_` by domain, updated incrementally: a relay of a large fleet needs them
   /// several times a second and would have to add hundreds of incarnations.
-  std::map<DomainName, UsageByWindow> domainSums_;
-  std::map<DomainName, UsageByWindow> reportedDomainSums_;
+  std::map<FailureDomainName, UsageByWindow> domainSums_;
+  std::map<FailureDomainName, UsageByWindow> reportedDomainSums_;
   UsageByWindow reportedFleetSums_;
   std::int64_t firstKeptWindow_ = 0;
 };
--- a/Hallchute/src/Fleet/FleetView.cpp
+++ b/Hallchute/src/Fleet/FleetView.cpp
@@ -126,7 +126,7 @@
 /// domain, which would be lost if this relay failed.
 std::vector<IncarnationUsage> FleetView::incarnationsToSend(const Round& round, Instant now) const {
   const auto chosen = [&](const DaemonId& daemon, std::uint64_t incarnation,
-                          const DomainName& domain) {
+                          const FailureDomainName& domain) {
     if (round.relay && domain == self().domain) return true;
     return !roster_.isLiveIncarnation(daemon, incarnation, now);
   };
@@ -189,7 +189,7 @@
 /// relay stops, each daemon of its domain takes itself for the next relay until it receives a
 /// report of a higher-ranked one.
 void FleetView::addUnreachableDomains(std::set<std::string>& targetAddresses, Instant now) const {
-  std::map<DomainName, std::vector<const FleetMember*>> unreachable;
+  std::map<FailureDomainName, std::vector<const FleetMember*>> unreachable;
   for (const auto& [daemon, peer] : roster_.peers()) {
     const FleetMember& member = peer.report.self;
     if (!FleetPeer::isRecent(peer.lastSeenAt, now, kContactExpiry) || peer.alive(now)) continue;
@@ -360,7 +360,7 @@
 /// seeds discover each other through a third relay, and daemons of such a domain their own relay.
 void FleetView::addRelays(FleetReport& report, const FleetMember& receiver, Instant now) const {
   for (const auto& [daemon, peer] : roster_.peers()) {
-    const DomainName& domain = peer.report.self.domain;
+    const FailureDomainName& domain = peer.report.self.domain;
     if (domain == self().domain || daemon == receiver.daemon) continue;
     // Daemons that are only listed by others are skipped: otherwise two relays would keep
     // confirming to each other that a stopped daemon is alive.
--- a/Hallchute/src/Gateway/GatewaySettings.h
+++ b/Hallchute/src/Gateway/GatewaySettings.h
@@ -80,7 +80,7 @@
   /// Price of a reclaimable replica as a fraction of the on-demand price; absent if reclaimable
   /// replicas are not offered.
   std::optional<double> reclaimablePrice;
-  std::map<DomainName, double> domainPrices;
+  std::map<FailureDomainName, double> domainPrices;
 };
 
 /// \brief A target service of routes. \ingroup Gateway
--- a/Hallchute/src/Gateway/UpstreamPick.h
+++ b/Hallchute/src/Gateway/UpstreamPick.h
@@ -21,7 +21,7 @@
   std::uint64_t sharedTokens = 0;
   /// Upstreams that were tried before.
   std::set<UpstreamId> tried;
-  DomainName ownDomain;
+  FailureDomainName ownDomain;
   /// Breaks ties, so that daemons don't all choose the same upstream.
   std::string requestId;
 };
--- a/Hallchute/src/Gateway/UpstreamRecord.h
+++ b/Hallchute/src/Gateway/UpstreamRecord.h
@@ -35,7 +35,7 @@
   ServiceName service;
   /// `ip:port`.
   std::string address;
-  DomainName domain;
+  FailureDomainName domain;
   /// Maximum number of requests processed concurrently.
   std::uint32_t slots = 1;
   UpstreamState state = UpstreamState::ready;
--- a/Hallchute/src/Gateway/UpstreamTable.cpp
+++ b/Hallchute/src/Gateway/UpstreamTable.cpp
@@ -163,7 +163,7 @@
   outage.at = now;
 }
 
-bool UpstreamTable::domainUnreachable(const DomainName& domain, Instant now) const {
+bool UpstreamTable::domainUnreachable(const FailureDomainName& domain, Instant now) const {
   const auto it = outages_.find(domain);
   return it != outages_.end() && now < it->second.until;
 }
--- a/Hallchute/src/Gateway/UpstreamTable.h
+++ b/Hallchute/src/Gateway/UpstreamTable.h
@@ -88,7 +88,7 @@
   void sweep(Instant now);
 
   /// \brief Whether a failure domain appears to be unreachable as a whole.
-  bool domainUnreachable(const DomainName& domain, Instant now) const;
+  bool domainUnreachable(const FailureDomainName& domain, Instant now) const;
   const std::map<UpstreamId, UpstreamEntry>& entries() const { return entries_; }
   const UpstreamEntry* find(const UpstreamId& upstream) const;
   UpstreamLoads ownLoads() const;
@@ -108,7 +108,7 @@
   void noteUnreachable(const UpstreamEntry& entry, Instant now);
 
   std::map<UpstreamId, UpstreamEntry> entries_;
-  std::map<DomainName, DomainOutage> outages_;
+  std::map<FailureDomainName, DomainOutage> outages_;
 };
 
 }  // namespace Hallchute
--- a/Hallchute/src/Ledger/OnceAttempt.cpp
+++ b/Hallchute/src/Ledger/OnceAttempt.cpp
@@ -13,7 +13,7 @@
 constexpr Millis kInProgressRetryAfter{500};
 
 RefuseRequest platformUnavailable(bool abandonLater) {
-  return {{RefusalReason::platformOut,
+  return {{RefusalReason::platformOutage,
            "the record that keeps this work from repeating can't be written", RunOutcome::notRun,
            kPlatformRetryAfter},
           abandonLater};
@@ -103,7 +103,7 @@
   const OnceRecord& other = event.record;
   if (other.digest != record_.digest) {
     return RefuseRequest{
-        {RefusalReason::keyReused, "the Idempotency-Key was used for another request",
+        {RefusalReason::idempotencyKeyReused, "the Idempotency-Key was used for another request",
          RunOutcome::notRun, std::nullopt},
         false};
   }
--- a/Hallchute/src/Membership/HostListEntry.h
+++ b/Hallchute/src/Membership/HostListEntry.h
@@ -22,7 +22,7 @@
 struct HostListEntry {
   HostId host;
   HostRole role = HostRole::upstream;
-  DomainName domain;
+  FailureDomainName domain;
   /// `ip:port`; for an entry host, the address that its peers use.
   std::string address;
   /// Empty for an entry host.
--- a/Hallchute/src/Membership/Member.h
+++ b/Hallchute/src/Membership/Member.h
@@ -22,7 +22,7 @@
 /// \ingroup Membership
 struct MemberStatus {
   DaemonId id;
-  DomainName domain;
+  FailureDomainName domain;
   /// The address for its peers, `ip:port`.
   std::string address;
   /// Raised only by the member itself, to refute a suspicion; starts at its start time.
--- a/Hallchute/src/Membership/Membership.cpp
+++ b/Hallchute/src/Membership/Membership.cpp
@@ -280,7 +280,7 @@
   return actions;
 }
 
-std::vector<DaemonId> Membership::owners(const DomainName& domain) const {
+std::vector<DaemonId> Membership::owners(const FailureDomainName& domain) const {
   std::vector<DaemonId> found;
   if (domain == self_.domain && mayOwnShards(self_.state)) found.push_back(self_.id);
   for (const auto& [id, member] : members_) {
--- a/Hallchute/src/Membership/Membership.h
+++ b/Hallchute/src/Membership/Membership.h
@@ -51,7 +51,7 @@
 
   const MemberStatus& self() const { return self_; }
   /// \brief Daemons of \p domain that may own shards, this one included, ordered by id.
-  std::vector<DaemonId> owners(const DomainName& domain) const;
+  std::vector<DaemonId> owners(const FailureDomainName& domain) const;
   /// \brief Whether \p id is this daemon or a known member that is not dead.
   bool mayBeAlive(const DaemonId& id) const;
   const Member* find(const DaemonId& id) const;
--- a/Hallchute/src/Membership/UpstreamDirectory.cpp
+++ b/Hallchute/src/Membership/UpstreamDirectory.cpp
@@ -61,7 +61,7 @@
 }
 
 std::vector<UpstreamId> UpstreamDirectory::live(const ServiceName& service,
-                                                const DomainName& domain) const {
+                                                const FailureDomainName& domain) const {
   std::vector<UpstreamId> found;
   for (const auto& [id, info] : upstreams_) {
     const bool match = info.host.service == service && info.host.domain == domain;
@@ -70,8 +70,8 @@
   return found;
 }
 
-std::vector<DomainName> UpstreamDirectory::domainsOf(const ServiceName& service) const {
-  std::set<DomainName> found;
+std::vector<FailureDomainName> UpstreamDirectory::domainsOf(const ServiceName& service) const {
+  std::set<FailureDomainName> found;
   for (const auto& [id, info] : upstreams_) {
     if (info.host.service == service && !info.leavesAt) found.insert(info.host.domain);
   }
--- a/Hallchute/src/Membership/UpstreamDirectory.h
+++ b/Hallchute/src/Membership/UpstreamDirectory.h
@@ -39,9 +39,9 @@
   /// \returns whether the leave was not known before.
   bool noteLeave(const UpstreamId& upstream, Millis remaining, Instant now);
   /// \brief Upstreams of \p service in \p domain that are not leaving.
-  std::vector<UpstreamId> live(const ServiceName& service, const DomainName& domain) const;
+  std::vector<UpstreamId> live(const ServiceName& service, const FailureDomainName& domain) const;
   /// \brief Failure domains that have an upstream of \p service that is not leaving.
-  std::vector<DomainName> domainsOf(const ServiceName& service) const;
+  std::vector<FailureDomainName> domainsOf(const ServiceName& service) const;
   const UpstreamInfo* find(const UpstreamId& upstream) const;
   std::vector<UpstreamInfo> all() const;
   std::uint64_t version() const { return version_; }
--- a/Hallchute/src/Node/NodeStartup.cpp
+++ b/Hallchute/src/Node/NodeStartup.cpp
@@ -71,7 +71,7 @@
   if (!json) return startup;
   JsonReader root(json, "", findings);
   startup.daemon = DaemonId(root.text("daemon", true));
-  startup.domain = DomainName(root.text("failureDomain", true));
+  startup.domain = FailureDomainName(root.text("failureDomain", true));
   startup.ownIp = root.text("ip", true);
   startup.logLevel = root.oneOf("logLevel", kLogLevels);
   startup.seeds = root.stringList("seeds");
--- a/Hallchute/src/Node/NodeStartup.h
+++ b/Hallchute/src/Node/NodeStartup.h
@@ -44,7 +44,7 @@
 /// \brief The start-up configuration of a gateway daemon. \ingroup Node
 struct NodeStartup {
   DaemonId daemon;
-  DomainName domain;
+  FailureDomainName domain;
   std::string ownIp;
   /// Listen addresses as `ip:port`: for callers, for the load balancer's readiness probes, for
   /// peers and for metrics.
@@ -53,7 +53,7 @@
   std::string peerListen;
   std::string metricsListen;
   std::vector<std::string> seeds;
-  std::vector<DomainName> domains;
+  std::vector<FailureDomainName> domains;
   std::string storeAddress;
   /// Empty where the deployment has no duties.
   std::string dutyAddress;
--- a/Hallchute/src/Observability/Log.cpp
+++ b/Hallchute/src/Observability/Log.cpp
@@ -21,7 +21,7 @@
 
 }  // namespace
 
-LogLevel logLevelNamed(std::string_view name) {
+LogLevel parseLogLevel(std::string_view name) {
   if (name == "debug") return LogLevel::debug;
   if (name == "warning") return LogLevel::warning;
   return name == "error" ? LogLevel::error : LogLevel::info;
@@ -40,7 +40,7 @@
   log4cxx::Logger::getRootLogger()->setLevel(log4cxx::Level::getDebug());
 }
 
-void logLine(LogLevel level, std::string_view message) {
+void logMessage(LogLevel level, std::string_view message) {
   LogLine(level, "message").with("text", message);
 }
 
--- a/Hallchute/src/Observability/Log.h
+++ b/Hallchute/src/Observability/Log.h
@@ -14,7 +14,7 @@
 
 /// \brief Parses the log level in a start-up file; `info` if \p name is not a level.
 /// \ingroup Observability
-LogLevel logLevelNamed(std::string_view name);
+LogLevel parseLogLevel(std::string_view name);
 
 /// \brief Starts writing logs to standard output, one JSON object per line.
 /// \ingroup Observability
@@ -27,7 +27,7 @@
 
 /// \brief Writes \p message as one line, with the calling thread's LogContext members.
 /// \ingroup Observability
-void logLine(LogLevel level, std::string_view message);
+void logMessage(LogLevel level, std::string_view message);
 
 namespace internal {
 /// \brief Sets the members that LogLine adds to every line, and the lowest level that it writes.
--- a/Hallchute/src/Platform/HostListJson.cpp
+++ b/Hallchute/src/Platform/HostListJson.cpp
@@ -18,7 +18,7 @@
   HostListEntry entry;
   entry.host = HostId(reader.text("host", true));
   entry.role = reader.oneOf("role", kRoles) == "entry" ? HostRole::entry : HostRole::upstream;
-  entry.domain = DomainName(reader.text("failureDomain", true));
+  entry.domain = FailureDomainName(reader.text("failureDomain", true));
   entry.address = reader.text("address", true);
   entry.service = ServiceName(reader.text("service", entry.role == HostRole::upstream));
   entry.machineClass = reader.text("machineClass", false);
--- a/Hallchute/src/Recovery/HandOverRecord.cpp
+++ b/Hallchute/src/Recovery/HandOverRecord.cpp
@@ -54,7 +54,7 @@
   }
   record.organisation = OrganisationName(reader.text("organisation", true));
   record.service = ServiceName(reader.text("service", true));
-  record.workClass = ClassName(reader.text("workClass", true));
+  record.workClass = WorkClassName(reader.text("workClass", true));
   record.prompt = reader.text("prompt", true);
   record.chat = reader.boolean("chat", true);
   record.maxTokens = static_cast<std::size_t>(reader.integer("maxTokens", 0, kMaxInteger, 0));
--- a/Hallchute/src/Recovery/HandOverRecord.h
+++ b/Hallchute/src/Recovery/HandOverRecord.h
@@ -30,7 +30,7 @@
   JobState state = JobState::running;
   OrganisationName organisation;
   ServiceName service;
-  ClassName workClass;
+  WorkClassName workClass;
   std::string prompt;
   bool chat = true;
   std::size_t maxTokens = 0;
--- a/Hallchute/src/Routing/ShardKey.h
+++ b/Hallchute/src/Routing/ShardKey.h
@@ -20,7 +20,7 @@
 /// \ingroup Routing
 struct ShardKey {
   ServiceName service;
-  DomainName domain;
+  FailureDomainName domain;
   std::uint32_t index = 0;
 
   auto operator<=>(const ShardKey&) const = default;
--- a/Hallchute/src/Settings/ServiceSettings.h
+++ b/Hallchute/src/Settings/ServiceSettings.h
@@ -23,7 +23,7 @@
   ServiceName name;
   ServiceKind kind = ServiceKind::model;
   ServiceMode mode = ServiceMode::observe;
-  ClassName defaultClass;
+  WorkClassName defaultClass;
   /// Whether its upstreams reject orders with a fencing token older than the newest one seen.
   bool checksOrders = false;
   PolicyValues policy;
--- a/Hallchute/src/Settings/SettingsTree.cpp
+++ b/Hallchute/src/Settings/SettingsTree.cpp
@@ -36,7 +36,7 @@
   service.kind = reader.oneOf("kind", kKinds) == "model" ? ServiceKind::model : ServiceKind::plain;
   service.mode =
       reader.oneOf("mode", kModes) == "manage" ? ServiceMode::manage : ServiceMode::observe;
-  service.defaultClass = ClassName(reader.text("defaultClass", true));
+  service.defaultClass = WorkClassName(reader.text("defaultClass", true));
   service.checksOrders = reader.boolean("checksOrders", false);
   service.policy = readPolicy(reader);
   return service;
@@ -44,7 +44,7 @@
 
 WorkClass readWorkClass(const std::string& name, JsonReader& reader) {
   WorkClass work;
-  work.name = ClassName(name);
+  work.name = WorkClassName(name);
   work.priority = reader.integer("priority", 0, kMaxPriority, work.priority);
   work.firstTokenMs = reader.integer("firstTokenMs", 1, kMaxTargetMs, work.firstTokenMs);
   work.gapMs = reader.integer("gapMs", 1, kMaxTargetMs, work.gapMs);
@@ -136,13 +136,13 @@
   JsonReader root(json, "", findings);
   root.object("fleet", [&](JsonReader& reader) { tree.fleet = readPolicy(reader); });
   root.forEachObject("failureDomains", [&](const std::string& name, JsonReader& reader) {
-    tree.failureDomains[DomainName(name)] = readPolicy(reader);
+    tree.failureDomains[FailureDomainName(name)] = readPolicy(reader);
   });
   root.forEachObject("services", [&](const std::string& name, JsonReader& reader) {
     tree.services[ServiceName(name)] = readService(name, reader);
   });
   root.forEachObject("workClasses", [&](const std::string& name, JsonReader& reader) {
-    tree.workClasses[ClassName(name)] = readWorkClass(name, reader);
+    tree.workClasses[WorkClassName(name)] = readWorkClass(name, reader);
   });
   root.forEachObject("organisations", [&](const std::string& name, JsonReader& reader) {
     tree.organisations[OrganisationName(name)] = readOrganisation(name, reader);
--- a/Hallchute/src/Settings/SettingsTree.h
+++ b/Hallchute/src/Settings/SettingsTree.h
@@ -20,7 +20,7 @@
 /// \brief The scope for which a policy value is resolved. An empty name skips its level.
 /// \ingroup Settings
 struct PolicyScope {
-  DomainName domain;
+  FailureDomainName domain;
   ServiceName service;
   OrganisationName organisation;
 };
@@ -37,9 +37,9 @@
 /// \ingroup Settings
 struct SettingsTree {
   PolicyValues fleet;
-  std::map<DomainName, PolicyValues> failureDomains;
+  std::map<FailureDomainName, PolicyValues> failureDomains;
   std::map<ServiceName, ServiceSettings> services;
-  std::map<ClassName, WorkClass> workClasses;
+  std::map<WorkClassName, WorkClass> workClasses;
   std::map<OrganisationName, Organisation> organisations;
 
   /// \brief Resolves a policy value: the most specific level that sets it wins, else the default.
--- a/Hallchute/src/Settings/WorkClass.h
+++ b/Hallchute/src/Settings/WorkClass.h
@@ -16,7 +16,7 @@
 ///
 /// Targets are in milliseconds. `priority` ranges from 0 (lowest) to 9 (most urgent).
 struct WorkClass {
-  ClassName name;
+  WorkClassName name;
   std::int64_t priority = 5;
   std::int64_t firstTokenMs = 1'900;
   std::int64_t gapMs = 32;
--- a/Hallchute/src/Traffic/TrafficOptions.h
+++ b/Hallchute/src/Traffic/TrafficOptions.h
@@ -15,7 +15,7 @@
 
 /// \brief Startup options of the traffic thread. \ingroup Traffic
 struct TrafficOptions {
-  DomainName domain;
+  FailureDomainName domain;
   /// Source address of connections to upstreams.
   std::string ownIp;
   RetryAllowance retries;
--- a/bench/slopes/main.cpp
+++ b/bench/slopes/main.cpp
@@ -52,7 +52,7 @@
     for (int i = 0; i < perDomain; ++i) {
       MemberStatus status;
       status.id = DaemonId("domain" + std::to_string(d) + "-daemon" + std::to_string(i));
-      status.domain = DomainName("domain" + std::to_string(d));
+      status.domain = FailureDomainName("domain" + std::to_string(d));
       status.address = status.id.str();
       status.incarnation = 1;
       auto& member = members[status.address];
@@ -157,7 +157,7 @@
 
 void grantMessages(std::size_t blocks) {
   GrantRequestMessage request;
-  request.shard = {ServiceName("scribe-pool"), DomainName("domain3"), 7};
+  request.shard = {ServiceName("scribe-pool"), FailureDomainName("domain3"), 7};
   request.wanted.organisation = OrganisationName("organisation-17");
   for (std::size_t i = 0; i < blocks; ++i) {
     request.wanted.prefixHashes.push_back(stableHash(std::to_string(i)));
@@ -262,7 +262,7 @@
   for (std::size_t i = 0; i < upstreams; ++i) {
     HostListEntry entry;
     entry.host = HostId("host-" + std::to_string(i) + "-incarnation-1");
-    entry.domain = DomainName("domain" + std::to_string(i % 6));
+    entry.domain = FailureDomainName("domain" + std::to_string(i % 6));
     entry.service = ServiceName("service" + std::to_string(i % 5));
     entry.address = "10.0.0.1:8000";
     hosts.push_back(entry);
@@ -279,7 +279,7 @@
   const double looking = cpuSeconds();
   std::size_t found = 0;
   for (int i = 0; i < kLooks; ++i) {
-    found += known->live(ServiceName("service1"), DomainName("domain1")).size();
+    found += known->live(ServiceName("service1"), FailureDomainName("domain1")).size();
   }
   line("host list", at, "microseconds per look-up of a pool",
        (cpuSeconds() - looking) / kLooks * 1e6 + static_cast<double>(found) * 0);
--- a/test/CapacityTest.cpp
+++ b/test/CapacityTest.cpp
@@ -31,11 +31,13 @@
     limits.least = 1;
     limits.most = 6;
     limits.reclaimablePrice = 0.2;
-    limits.domainPrices = {{DomainName("a"), 0.8}, {DomainName("b"), 1.2}, {DomainName("c"), 1.0}};
+    limits.domainPrices = {{FailureDomainName("a"), 0.8},
+                           {FailureDomainName("b"), 1.2},
+                           {FailureDomainName("c"), 1.0}};
     service_.replicas = limits;
     for (const char* domain : {"a", "b", "c"}) {
-      counts_[{kService, DomainName(domain), false}] = onDemandPerDomain;
-      counts_[{kService, DomainName(domain), true}] = 0;
+      counts_[{kService, FailureDomainName(domain), false}] = onDemandPerDomain;
+      counts_[{kService, FailureDomainName(domain), true}] = 0;
     }
   }
 
@@ -80,14 +82,14 @@
     for (int ms = from; ms < to; ms += 250) planOnce(load, ms);
   }
   std::uint32_t replicasIn(const std::string& domain, bool reclaimable) const {
-    return counts_.at({kService, DomainName(domain), reclaimable});
+    return counts_.at({kService, FailureDomainName(domain), reclaimable});
   }
   std::uint32_t totalReplicas(bool reclaimable) const {
     return replicasIn("a", reclaimable) + replicasIn("b", reclaimable) +
            replicasIn("c", reclaimable);
   }
   void reclaim(const std::string& domain) {
-    counts_[{kService, DomainName(domain), true}] = 0;
+    counts_[{kService, FailureDomainName(domain), true}] = 0;
     exhausted_.insert(domain);
   }
   void restoreCapacity(const std::string& domain) { exhausted_.erase(domain); }
--- a/test/DutyFleet.cpp
+++ b/test/DutyFleet.cpp
@@ -64,7 +64,7 @@
   Host& host = hosts_[index];
   const auto incarnation = static_cast<std::uint64_t>(kWallStartMs + ms);
   const FleetMember self{DaemonId(host.name), host.name + ":1", incarnation,
-                         DomainName("d" + std::to_string(host.domain)), 500};
+                         FailureDomainName("d" + std::to_string(host.domain)), 500};
   host.view = std::make_unique<FleetView>(self, at(ms));
   const std::size_t seeds = std::min<std::size_t>(3, hosts_.size());
   std::vector<std::string> addresses;
--- a/test/FleetDiscoveryTest.cpp
+++ b/test/FleetDiscoveryTest.cpp
@@ -39,7 +39,7 @@
     for (int i = 0; i < kDaemons; ++i) {
       const std::string domain = "d" + std::to_string(i % kDomains);
       const std::string name = domain + "-" + std::to_string(100 + i);
-      const FleetMember member{DaemonId(name), name + ":1", 1, DomainName(domain),
+      const FleetMember member{DaemonId(name), name + ":1", 1, FailureDomainName(domain),
                                i < kDomains ? 500U : 120U};
       Host& host = hosts_[member.address];
       host.domain = i % kDomains;
--- a/test/FleetQuotaTest.cpp
+++ b/test/FleetQuotaTest.cpp
@@ -55,7 +55,7 @@
     for (int i = 0; i < daemons_; ++i) {
       const std::string name = "d" + std::to_string(i % 3) + "-" + std::to_string(100 + i);
       const FleetMember member{DaemonId(name), name + ":1", kFirstIncarnation + ms,
-                               DomainName("d" + std::to_string(i % 3)), i < 6 ? 500U : 120U};
+                               FailureDomainName("d" + std::to_string(i % 3)), i < 6 ? 500U : 120U};
       hosts_.push_back(std::make_unique<Host>(member, at(ms)));
       byAddress_[member.address] = i;
       hosts_.back()->ledger.setOrganisations(std::vector{organisation_}, at(ms));
--- a/test/FleetRelayTest.cpp
+++ b/test/FleetRelayTest.cpp
@@ -58,8 +58,8 @@
     Host& host = hosts_[i];
     const std::string domain = "d" + std::to_string(i % kDomains);
     const std::string name = domain + "-" + std::to_string(100 + i);
-    const FleetMember member{DaemonId(name), name + ":1", 1'000'000U + ms, DomainName(domain),
-                             i < 2 * kDomains ? 500U : 120U};
+    const FleetMember member{DaemonId(name), name + ":1", 1'000'000U + ms,
+                             FailureDomainName(domain), i < 2 * kDomains ? 500U : 120U};
     host = Host{std::make_unique<FleetView>(member, at(ms)), {}};
     host.view->addAddresses(std::vector<std::string>{"d0-100:1", "d1-101:1", "d2-102:1"});
     byAddress_[member.address] = i;
@@ -128,9 +128,9 @@
 
  public:
   void aCountIsMergedOnceWhoeverReportsIt() {
-    const FleetMember self{DaemonId("self"), "self:1", 1, DomainName("d0")};
-    const FleetMember near{DaemonId("near"), "near:1", 5, DomainName("d0")};
-    const FleetMember far{DaemonId("far"), "far:1", 5, DomainName("d1")};
+    const FleetMember self{DaemonId("self"), "self:1", 1, FailureDomainName("d0")};
+    const FleetMember near{DaemonId("near"), "near:1", 5, FailureDomainName("d0")};
+    const FleetMember far{DaemonId("far"), "far:1", 5, FailureDomainName("d1")};
     FleetMember restarted = near;
     restarted.incarnation = 6;
     const auto reported = [](const FleetMember& m, std::uint64_t count) {
@@ -172,18 +172,18 @@
          9},
         {"a domain's sum and one of its daemons",
          [&](FleetUsage& u) {
-           u.noteDomainSums(DomainName("d1"), usageOf(10));
+           u.noteDomainSums(FailureDomainName("d1"), usageOf(10));
            u.noteIncarnation(reported(far, 4));
          },
          10},
         {"a new relay's sum is lower",
          [&](FleetUsage& u) {
-           u.noteDomainSums(DomainName("d1"), usageOf(10));
-           u.noteDomainSums(DomainName("d1"), usageOf(1));
+           u.noteDomainSums(FailureDomainName("d1"), usageOf(10));
+           u.noteDomainSums(FailureDomainName("d1"), usageOf(1));
          },
          10},
         {"sums of the own domain may include the own count",
-         [&](FleetUsage& u) { u.noteDomainSums(DomainName("d0"), usageOf(10)); }, 0},
+         [&](FleetUsage& u) { u.noteDomainSums(FailureDomainName("d0"), usageOf(10)); }, 0},
         {"a fleet's sum includes directly reported usage",
          [&](FleetUsage& u) {
            u.noteSelfReport(near, usageOf(3));
--- a/test/FleetScaleTest.cpp
+++ b/test/FleetScaleTest.cpp
@@ -38,7 +38,7 @@
 
 FleetMember memberOf(int domain, int member) {
   const std::string name = nameOf(domain, member);
-  const DomainName domainName("domain" + std::to_string(domain));
+  const FailureDomainName domainName("domain" + std::to_string(domain));
   return {DaemonId(name), name + ":7600", 1'000'000, domainName, member == 0 ? 500U : 120U};
 }
 
--- a/test/FleetSplitTest.cpp
+++ b/test/FleetSplitTest.cpp
@@ -61,7 +61,7 @@
       const int startMs =
           randomUpTo(config.maxStartDelayMs) + (fast ? 0 : randomUpTo(config.maxSlowHostDelayMs));
       const FleetMember member{DaemonId(name), name + ":1", 1'000'000U + startMs,
-                               DomainName(domain), fast ? 500U : 120U};
+                               FailureDomainName(domain), fast ? 500U : 120U};
       hosts_.push_back(
           {member, nullptr, startMs, randomUpTo(kReportPeriodMs - 1) / kStepMs * kStepMs, 0, {}});
       byAddress_[member.address] = i;
--- a/test/FleetTest.cpp
+++ b/test/FleetTest.cpp
@@ -24,7 +24,7 @@
 
 FleetReport reportOf(const std::string& daemon, std::uint64_t incarnation) {
   FleetReport report;
-  report.self = {DaemonId(daemon), daemon + ":1", incarnation, DomainName("d"), 100};
+  report.self = {DaemonId(daemon), daemon + ":1", incarnation, FailureDomainName("d"), 100};
   return report;
 }
 
@@ -206,7 +206,7 @@
     for (int i = 0; i < 60; ++i) {
       const std::string name = "d" + std::to_string(i % 4) + "-" + std::to_string(100 + i);
       const FleetMember member{DaemonId(name), name + ":1", 1,
-                               DomainName("d" + std::to_string(i % 4)), i < 8 ? 500U : 120U};
+                               FailureDomainName("d" + std::to_string(i % 4)), i < 8 ? 500U : 120U};
       views[member.address] = std::make_unique<FleetView>(member);
     }
     const std::vector<std::string> seeds{"d0-100:1", "d1-101:1", "d2-102:1"};
@@ -250,7 +250,7 @@
     for (int i = 0; i < 60; ++i) {
       const std::string name = "d" + std::to_string(i % 3) + "-" + std::to_string(100 + i);
       const FleetMember member{DaemonId(name), name + ":1", 1,
-                               DomainName("d" + std::to_string(i % 3)), i < 3 ? 500U : 120U};
+                               FailureDomainName("d" + std::to_string(i % 3)), i < 3 ? 500U : 120U};
       hosts.push_back(std::make_unique<Host>(Host{member, FleetView(member), {}, 0, false}));
       hosts.back()->own.spent[kOrg] = 0;
       hosts.back()->own.loads[UpstreamId("u")] = {1, 0};
@@ -392,7 +392,7 @@
     CPPUNIT_ASSERT_EQUAL(3.0, view.receive(after, at(1'700)).newlySpent.at(kOrg));
     // A peer's member list doesn't restore the earlier incarnation while the new one is live.
     FleetReport indirect = reportOf("b", 1);
-    indirect.members = {{DaemonId("a"), "a:1", 9'000, DomainName("d"), 100}};
+    indirect.members = {{DaemonId("a"), "a:1", 9'000, FailureDomainName("d"), 100}};
     view.receive(indirect, at(1'750));
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{2'000}, view.liveIncarnation(DaemonId("a"), at(1'800)));
   }
--- a/test/FleetUsageTest.cpp
+++ b/test/FleetUsageTest.cpp
@@ -76,8 +76,8 @@
   void start(std::size_t i, int ms) {
     const std::string domain = "d" + std::to_string(i % kDomains);
     const std::string name = domain + "-" + std::to_string(100 + i);
-    const FleetMember member{DaemonId(name), name + ":1", 1'000'000U + ms, DomainName(domain),
-                             i < 9 ? 500U : 120U};
+    const FleetMember member{DaemonId(name), name + ":1", 1'000'000U + ms,
+                             FailureDomainName(domain), i < 9 ? 500U : 120U};
     hosts_[i] = Host{std::make_unique<FleetView>(member, at(ms)), {}, -1, -1};
     hosts_[i].view->addAddresses(std::vector<std::string>{"d0-100:1", "d1-101:1", "d2-102:1"});
     byAddress_[member.address] = i;
--- a/test/GatewayRig.cpp
+++ b/test/GatewayRig.cpp
@@ -11,7 +11,7 @@
 
 GatewayRig::GatewayRig() {
   TrafficOptions options;
-  options.domain = DomainName("d1");
+  options.domain = FailureDomainName("d1");
   options.ownIp = "127.0.0.1";
   options.retries = {0.2, 100, Millis(10'000)};
   // A quarter of the tolerance is there at a start.
@@ -98,7 +98,7 @@
   record.id = UpstreamId(id);
   record.service = ServiceName("s");
   record.address = address;
-  record.domain = DomainName("d1");
+  record.domain = FailureDomainName("d1");
   record.slots = 8;
   return record;
 }
--- a/test/GatewayTest.cpp
+++ b/test/GatewayTest.cpp
@@ -329,14 +329,14 @@
  private:
   static UpstreamRecord record(const std::string& id, const std::string& domain) {
     UpstreamRecord upstream = upstreamAt(id, "127.0.0.1:1");
-    upstream.domain = DomainName(domain);
+    upstream.domain = FailureDomainName(domain);
     return upstream;
   }
   static UpstreamCriteria criteriaFor(const std::string& affinity) {
     UpstreamCriteria criteria;
     criteria.service = ServiceName("s");
     criteria.affinity = affinity;
-    criteria.ownDomain = DomainName("d1");
+    criteria.ownDomain = FailureDomainName("d1");
     criteria.requestId = "q";
     return criteria;
   }
--- a/test/LedgerTest.cpp
+++ b/test/LedgerTest.cpp
@@ -46,8 +46,8 @@
       return ending;
     }
     if (const auto* refuse = std::get_if<RefuseRequest>(&step)) {
-      ending.word = std::string(reasonWord(refuse->refusal.reason)) + "/" +
-                    std::string(outcomeWord(refuse->refusal.outcome));
+      ending.word = std::string(reasonName(refuse->refusal.reason)) + "/" +
+                    std::string(outcomeName(refuse->refusal.outcome));
       ending.later = refuse->abandonLater;
       return ending;
     }
--- a/test/MembershipTest.cpp
+++ b/test/MembershipTest.cpp
@@ -18,7 +18,7 @@
 MemberStatus status(const std::string& id, const std::string& domain = "d") {
   MemberStatus made;
   made.id = DaemonId(id);
-  made.domain = DomainName(domain);
+  made.domain = FailureDomainName(domain);
   made.address = id;
   made.incarnation = 1;
   return made;
@@ -69,7 +69,7 @@
     std::size_t count = 0;
     for (auto& [name, member] : members_) {
       if (silent_.contains(name)) continue;
-      if (member->owners(DomainName("d")).size() == owners) ++count;
+      if (member->owners(FailureDomainName("d")).size() == owners) ++count;
     }
     return count;
   }
@@ -176,7 +176,7 @@
       about.state = c.state;
       batch.members.push_back(about);
       member.receive(batch, kStart);
-      const auto owners = member.owners(DomainName("d"));
+      const auto owners = member.owners(FailureDomainName("d"));
       const bool owns = std::count(owners.begin(), owners.end(), DaemonId("b")) > 0;
       CPPUNIT_ASSERT_EQUAL(c.owns, owns);
     }
@@ -222,12 +222,12 @@
     const auto host = [](const char* name) {
       HostListEntry entry;
       entry.host = HostId(name);
-      entry.domain = DomainName("d");
+      entry.domain = FailureDomainName("d");
       entry.service = ServiceName("s");
       return entry;
     };
     const auto live = [](const UpstreamDirectory& directory) {
-      return directory.live(ServiceName("s"), DomainName("d")).size();
+      return directory.live(ServiceName("s"), FailureDomainName("d")).size();
     };
     UpstreamDirectory directory;
     directory.noteLeave(UpstreamId("c"), Millis(500), kStart);
--- a/test/OwnInterfaceTest.cpp
+++ b/test/OwnInterfaceTest.cpp
@@ -32,7 +32,7 @@
   void aBodyIsNeverTakenForARequest() {
     StartupFile startup;
     startup.daemon = DaemonId("d-1");
-    startup.domain = DomainName("d");
+    startup.domain = FailureDomainName("d");
     startup.callerListen = freeAddress();
     startup.operatorListen = freeAddress();
     startup.operatorToken = "token";
--- a/test/PeerTransportTest.cpp
+++ b/test/PeerTransportTest.cpp
@@ -139,7 +139,7 @@
 
   void garbageIsNoMessage() {
     GrantRequestMessage message;
-    message.shard = {ServiceName("s"), DomainName("d"), 3};
+    message.shard = {ServiceName("s"), FailureDomainName("d"), 3};
     message.wanted.prefixHashes = {1, 2, 3};
     message.wanted.failedUpstreams = {UpstreamId("u")};
     message.remaining = Millis(250);
--- a/test/PlacementTest.cpp
+++ b/test/PlacementTest.cpp
@@ -107,7 +107,7 @@
       UpstreamRecord record;
       record.id = UpstreamId("u" + std::to_string(u));
       record.service = ServiceName("s");
-      record.domain = DomainName("d" + std::to_string(u));
+      record.domain = FailureDomainName("d" + std::to_string(u));
       record.slots = kSlots;
       records.push_back(record);
     }
@@ -143,7 +143,7 @@
     criteria.service = ServiceName("s");
     criteria.requestId = "r" + std::to_string(result_.requestCount);
     const std::size_t daemon = random_.below(daemons_.size());
-    criteria.ownDomain = DomainName("d" + std::to_string(daemon % speeds_.size()));
+    criteria.ownDomain = FailureDomainName("d" + std::to_string(daemon % speeds_.size()));
     const UpstreamEntry* picked = pickUpstream(daemons_.table(daemon), criteria, at(now));
     CPPUNIT_ASSERT(picked != nullptr);
     const std::size_t u = std::stoul(picked->record.id.str().substr(1));
@@ -214,7 +214,7 @@
       UpstreamRecord record;
       record.id = UpstreamId("e" + std::to_string(e));
       record.service = ServiceName("s");
-      record.domain = DomainName("d" + std::to_string(e % 5));
+      record.domain = FailureDomainName("d" + std::to_string(e % 5));
       record.slots = 48;
       records.push_back(record);
     }
--- a/test/RecoveryTest.cpp
+++ b/test/RecoveryTest.cpp
@@ -126,7 +126,7 @@
     written.epoch = 7;
     written.organisation = OrganisationName("o");
     written.service = ServiceName("s");
-    written.workClass = ClassName("c");
+    written.workClass = WorkClassName("c");
     written.prompt = "user: \"quoted\"\n";
     written.chat = false;
     written.maxTokens = 40;
--- a/test/SettingsTest.cpp
+++ b/test/SettingsTest.cpp
@@ -114,14 +114,14 @@
       std::int64_t value;
       const char* level;
     };
-    const DomainName d("d");
+    const FailureDomainName d("d");
     const ServiceName s("s");
     const OrganisationName o("o");
     const Case cases[] = {
         {PolicyKey::maxQueue, {d, s, o}, 4, "organisations/o"},
         {PolicyKey::maxQueue, {d, s, {}}, 3, "services/s"},
         {PolicyKey::maxQueue, {d, {}, {}}, 2, "failureDomains/d"},
-        {PolicyKey::maxQueue, {DomainName("e"), {}, {}}, 1, "fleet"},
+        {PolicyKey::maxQueue, {FailureDomainName("e"), {}, {}}, 1, "fleet"},
         {PolicyKey::agingMs, {d, s, o}, 12, "failureDomains/d"},
         {PolicyKey::maxAttempts, {d, s, o}, 2, "fleet"},
         {PolicyKey::stallLimitMs, {d, s, o}, 3'000, "default"},
--- a/test/TrafficContractTest.cpp
+++ b/test/TrafficContractTest.cpp
@@ -449,7 +449,7 @@
     rig.setSettings(settingsWith(route));
     // The own failure domain goes first, so that the first script is asked first.
     UpstreamRecord farther = upstreamAt("i-2", second.address());
-    farther.domain = DomainName("d2");
+    farther.domain = FailureDomainName("d2");
     rig.setUpstreams({upstreamAt("i-1", first.address()), farther});
     RawCaller caller(rig.address());
     caller.send(requestText("POST", "Connection: close\r\n", "body"));
