--- a/Hallchute/src/Cli/Command.h
+++ b/Hallchute/src/Cli/Command.h
@@ -11,14 +11,14 @@
 
 namespace Hallchute {
 
-/// \brief A command, its line of help and what runs it. \ingroup Cli
+/// \brief A command, its help line and the function that runs it. \ingroup Cli
 struct CommandRow {
   std::string_view words;
   std::string_view help;
   ExitCode (*run)();
 };
 
-/// \brief Adds a command that an adapter brings; before usageText() and runCommand().
+/// \brief Registers a command of an adapter; to be called before usageText() and runCommand().
 /// \ingroup Cli
 void registerCommand(const CommandRow& command);
 
@@ -28,7 +28,7 @@
 
 /// \brief Runs a command.
 /// \ingroup Cli
-/// \param words the command line without program name and flags.
+/// \param words the command-line arguments without program name and flags.
 ExitCode runCommand(std::span<const std::string_view> words);
 
 }  // namespace Hallchute
--- a/Hallchute/src/Cli/ConfigFile.h
+++ b/Hallchute/src/Cli/ConfigFile.h
@@ -16,17 +16,17 @@
 
 namespace Hallchute {
 
-/// \brief The path that `--config` gives. \ingroup Cli
+/// \brief The path given by `--config`. \ingroup Cli
 std::string configPath();
 
-/// \brief Reads the file that `--config` names and tells all its faults on standard error.
+/// \brief Reads the file given by `--config` and prints all its errors on standard error.
 /// \ingroup Cli
-/// \param read takes the text and adds what is wrong with it.
-/// \returns `ok`, `usage` if the file can't be read, `invalid` if it has faults.
+/// \param read parses the text and adds its errors to the findings.
+/// \returns `ok`, `usage` if the file can't be read, `invalid` if it has errors.
 ExitCode readConfigFile(const std::function<void(std::string_view text, Findings&)>& read);
 
-/// \brief Blocks \p numbers in this thread and all it starts, so that one thread can wait for
-/// them, and ignores SIGPIPE. \ingroup Cli
+/// \brief Blocks the signals \p numbers in this thread and all threads it starts, so that one
+/// thread can wait for them, and ignores SIGPIPE. \ingroup Cli
 sigset_t blockSignals(std::span<const int> numbers);
 
 }  // namespace Hallchute
--- a/Hallchute/src/Cli/ExitCode.h
+++ b/Hallchute/src/Cli/ExitCode.h
@@ -6,15 +6,15 @@
 
 namespace Hallchute {
 
-/// \brief What the command's exit says; documented in docs/OPERATIONS.md.
+/// \brief Exit codes of the commands; documented in docs/OPERATIONS.md.
 /// \ingroup Cli
 enum class ExitCode : int {
   ok = 0,
   /// The command line is wrong.
   usage = 2,
-  /// The input has findings; they were printed with their places.
+  /// The input has findings; they were printed with their locations.
   invalid = 3,
-  /// Another change came first.
+  /// Another change was accepted first.
   conflict = 4,
   /// The daemon or the platform can't be reached; nothing was changed.
   unavailable = 5,
--- a/Hallchute/src/Cli/OperatorCommands.cpp
+++ b/Hallchute/src/Cli/OperatorCommands.cpp
@@ -61,7 +61,7 @@
   }
 }
 
-/// Calls the daemon. Prints the fault and gives nothing if it gives no answer.
+/// Calls the daemon. Without a response, prints the error and returns nothing.
 std::optional<HttpResponse> callDaemon(const std::string& method, const std::string& target,
                                        const std::string& body) {
   const std::string address = flagOr(absl::GetFlag(FLAGS_operator), "HALLCHUTE_OPERATOR");
@@ -81,7 +81,7 @@
 
 using Renderer = std::function<std::string(const JsonObject&)>;
 
-/// Calls the daemon and prints its answer, rendered for people unless --json is set.
+/// Calls the daemon and prints its response, in human-readable form unless --json is set.
 ExitCode show(const std::string& method, const std::string& target, const std::string& body,
               const Renderer& render) {
   const auto answer = callDaemon(method, target, body);
--- a/Hallchute/src/Cli/OperatorCommands.h
+++ b/Hallchute/src/Cli/OperatorCommands.h
@@ -9,7 +9,7 @@
 namespace Hallchute {
 
 /// \file
-/// \brief The commands that talk to a daemon's operator address. \ingroup Cli
+/// \brief The commands that call a daemon's operator address. \ingroup Cli
 
 ExitCode settingsGetCommand();
 ExitCode settingsCheckCommand();
@@ -23,7 +23,7 @@
 ExitCode drainCommand();
 ExitCode leaveCommand();
 ExitCode hashCommand();
-/// \brief Prints one request's way, from logs on standard input.
+/// \brief Prints the history of one request, from logs on standard input.
 /// \ingroup Cli
 ExitCode explainRequestCommand();
 
--- a/Hallchute/src/Cli/Render.cpp
+++ b/Hallchute/src/Cli/Render.cpp
@@ -14,7 +14,7 @@
   return json->has(name) ? json->get(name).toString() : "";
 }
 
-/// Lays out the named members of each object of an array in columns.
+/// Renders the named members of each object of an array as a table.
 std::string table(const JsonObject& json, const std::string& name,
                   std::initializer_list<const char*> columns) {
   std::vector<std::vector<std::string>> rows(1);
--- a/Hallchute/src/Cli/Render.h
+++ b/Hallchute/src/Cli/Render.h
@@ -12,7 +12,7 @@
 namespace Hallchute {
 
 /// \file
-/// \brief Turns a daemon's JSON into text for people. \ingroup Cli
+/// \brief Renders a daemon's JSON as human-readable text. \ingroup Cli
 
 std::string renderSettings(const JsonObject& json);
 std::string renderChange(const JsonObject& json);
@@ -22,7 +22,7 @@
 std::string renderStatus(const JsonObject& json);
 std::string renderRequests(const JsonObject& json);
 std::string renderMessage(const JsonObject& json);
-/// \brief Why the daemon did not do it.
+/// \brief Explains why the daemon did not perform the call.
 std::string renderFault(ExitCode code, const JsonObject& json);
 
 }  // namespace Hallchute
--- a/Hallchute/src/Cli/RequestStory.cpp
+++ b/Hallchute/src/Cli/RequestStory.cpp
@@ -18,10 +18,10 @@
 namespace Hallchute {
 namespace {
 
-/// What a daemon learned this long before a line about the request is shown with it.
+/// State changes of a daemon up to this long before a line about the request are shown with it.
 constexpr Poco::Timestamp::TimeDiff kBeforeUs = 1'000'000;
 
-/// Events that change what a daemon believes.
+/// Events that change a daemon's view of the fleet, the store or its settings.
 constexpr std::array<std::string_view, 10> kBeliefs{
     "store.lost",     "store.regained", "store.mode", "settings.applied", "upstream.gone",
     "upstreams.held", "duty.taken",     "duty.left",  "daemon.start",     "daemon.stop",
--- a/Hallchute/src/Cli/RequestStory.h
+++ b/Hallchute/src/Cli/RequestStory.h
@@ -12,19 +12,19 @@
 
 namespace Hallchute {
 
-/// \brief One request's way through the daemons, put together from their logs. \ingroup Cli
+/// \brief The history of one request across the daemons, assembled from their logs. \ingroup Cli
 ///
-/// Takes the lines of any number of daemons in any order. Beside the lines that name the request it
-/// shows what the same daemons came to believe in the second before: contact with the store,
+/// Accepts the lines of any number of daemons in any order. Besides the lines that name the request
+/// it shows the state changes of the same daemons in the second before: contact with the store,
 /// settings, upstreams that left, the duties.
 class RequestStory {
  public:
   explicit RequestStory(std::string requestId) : requestId_(std::move(requestId)) {}
 
-  /// \brief Takes one line; text before its JSON object (a collector's mark) is passed over.
-  /// Lines that are none of a daemon's are counted and left out.
+  /// \brief Adds one line; text before its JSON object (a log collector's prefix) is skipped.
+  /// Lines that are not from a daemon are counted and omitted.
   void addLine(std::string_view line);
-  /// \brief Writes the story, oldest line first.
+  /// \brief Writes the history, oldest line first.
   /// \returns whether any line names the request.
   bool write(std::ostream& out) const;
   std::size_t unreadable() const { return unreadable_; }
--- a/Hallchute/src/Cli/ServeCommand.cpp
+++ b/Hallchute/src/Cli/ServeCommand.cpp
@@ -39,7 +39,7 @@
       while (sigwait(&signals, &number) == 0 && !done) daemon.stop();
     });
     daemon.run();
-    // The waiter must not reach for a daemon that is gone.
+    // The waiter must not access the daemon after its destruction.
     done = true;
     pthread_kill(waiter.native_handle(), SIGINT);
     waiter.join();
--- a/Hallchute/src/Cli/ServeCommand.h
+++ b/Hallchute/src/Cli/ServeCommand.h
@@ -8,7 +8,7 @@
 
 namespace Hallchute {
 
-/// \brief `hallchute serve`: runs until SIGTERM or SIGINT; a second one stops at once.
+/// \brief `hallchute serve`: runs until SIGTERM or SIGINT; a second signal stops it at once.
 /// \ingroup Cli
 ExitCode serveCommand();
 
--- a/Hallchute/src/Daemon/CallerRequest.h
+++ b/Hallchute/src/Daemon/CallerRequest.h
@@ -21,7 +21,7 @@
 
 struct CallerServices;
 
-/// \brief An authenticated caller, with the settings in force when the request arrived.
+/// \brief An authenticated caller, with the settings active when the request arrived.
 /// \ingroup Daemon
 struct Caller {
   std::shared_ptr<const ActiveSettings> settings;
--- a/Hallchute/src/Daemon/Drain.cpp
+++ b/Hallchute/src/Daemon/Drain.cpp
@@ -26,7 +26,7 @@
 constexpr Millis kReadinessGrace{1'000};
 constexpr Millis kPollInterval{20};
 constexpr Millis kPauseTimeout{4'000};
-/// Time for callers to read the end of their answers and for unsaved records to be written.
+/// Time for callers to read the end of their answers and for pending records to be written.
 constexpr Millis kFinalFlushTimeout{3'000};
 
 }  // namespace
--- a/Hallchute/src/Daemon/OnceRecordStore.h
+++ b/Hallchute/src/Daemon/OnceRecordStore.h
@@ -20,8 +20,8 @@
 /// \ingroup Daemon
 ///
 /// Outcomes that could not be stored are kept in memory, at most kMaxPending of them, and retried
-/// by flush(); beyond the limit the oldest is dropped. If the daemon dies before one is stored, a
-/// retry by the caller is correctly answered with an unknown outcome.
+/// by flush(); beyond the limit the oldest is dropped. If the daemon crashes before one is stored,
+/// a retry by the caller is correctly answered with an unknown outcome.
 class OnceRecordStore {
  public:
   static constexpr std::size_t kMaxPending = 10'000;
--- a/Hallchute/src/Membership/Member.h
+++ b/Hallchute/src/Membership/Member.h
@@ -28,7 +28,7 @@
   /// Raised only by the member itself, to refute a suspicion; starts at its start time.
   std::uint64_t incarnation = 0;
   MemberState state = MemberState::alive;
-  /// The settings revision in force at the member, as last reported.
+  /// The active settings revision of the member, as last reported.
   std::uint64_t revision = 0;
   /// The version of its host list, as last reported.
   std::uint64_t hostsVersion = 0;
--- a/Hallchute/src/Membership/Membership.h
+++ b/Hallchute/src/Membership/Membership.h
@@ -35,7 +35,7 @@
   void addSeed(const std::string& address);
   std::vector<MembershipAction> tick(Instant now);
   /// \brief Builds the next message. Counts each update's transmissions, which are bounded.
-  /// \param peerKnows how many daemons the receiver knows; one that knows fewer gets a larger
+  /// \param peerMemberCount how many daemons the receiver knows; one that knows fewer gets a larger
   /// message.
   GossipMessage compose(Instant now, std::uint64_t peerMemberCount = UINT64_MAX);
   /// \brief Applies a message received from a peer, either a probe or an answer.
--- a/Hallchute/src/Net/PeerMessages.h
+++ b/Hallchute/src/Net/PeerMessages.h
@@ -52,7 +52,7 @@
   Refusal refusal;
 };
 
-/// \brief Tells the shard owner that granted work has produced its first token, or has ended.
+/// \brief Reports to the shard owner that granted work has produced its first token, or has ended.
 /// \ingroup Net
 struct GrantProgressMessage {
   bool ended = false;
--- a/Hallchute/src/Node/DutyRunner.h
+++ b/Hallchute/src/Node/DutyRunner.h
@@ -38,8 +38,8 @@
   bool ordersReplicas = false;
 };
 
-/// \brief Carries out the steps of DutyKeeper and the orders of ReplicaPlanner, on its own thread
-/// because the calls to the platform block. \ingroup Node
+/// \brief Carries out the steps of DutyStateMachine and the orders of ReplicaPlanner, on its own
+/// thread because the calls to the platform block. \ingroup Node
 class DutyRunner {
  public:
   /// Called from the runner's thread.
--- a/Hallchute/src/Recovery/MigrationPlan.h
+++ b/Hallchute/src/Recovery/MigrationPlan.h
@@ -36,7 +36,7 @@
   /// Upper bound of the tokens still to be generated.
   std::size_t remainingTokens = 0;
   double tokensPerSecond = 0;
-  /// Weight of the work class: the relative cost of recomputing one token.
+  /// Relative cost of recomputing one token: 2 for durable jobs, 1 for others.
   double weight = 1;
 };
 
--- a/Hallchute/src/Traffic/TrafficEngine.h
+++ b/Hallchute/src/Traffic/TrafficEngine.h
@@ -54,7 +54,7 @@
 
   void handle(const std::shared_ptr<FrontExchange>& exchange) override;
 
-  /// \brief Applies settings, unless those in force have the same or a newer version.
+  /// \brief Applies settings, unless the active ones have the same or a newer version.
   void setSettings(std::shared_ptr<const RouteTable> routes);
   void setUpstreams(std::span<const UpstreamRecord> records);
   void noteDraining(const UpstreamIncarnation& upstream);
--- a/bench/policy/EngineFake.h
+++ b/bench/policy/EngineFake.h
@@ -35,7 +35,7 @@
   std::vector<std::uint64_t> hashes;
   std::size_t promptTokens = 0;
   std::size_t outputTokens = 0;
-  /// Tokens already produced elsewhere.
+  /// Tokens already produced by another engine.
   std::size_t produced = 0;
   /// Context that came with it and need not be computed.
   std::size_t importedTokens = 0;
--- a/bench/policy/Trial.h
+++ b/bench/policy/Trial.h
@@ -33,11 +33,11 @@
   double warmUpMs = 30'000;
   double scale = 1;
   std::uint64_t seed = 1;
-  /// Engines that get a reclaim notice at waveAtMs and die waveNoticeMs later.
+  /// Engines that get a reclaim notice at waveAtMs and stop waveNoticeMs later.
   std::size_t waveEngines = 0;
   double waveAtMs = 90'000;
   double waveNoticeMs = 10'000;
-  /// Whether work on leaving engines moves by planMigrations(), or is recomputed when they die.
+  /// Whether work on leaving engines moves by planMigrations(), or is recomputed when they stop.
   bool plannedMoves = true;
   double transferTokensPerSecond = 200'000;
   /// Engines that refuse connections throughout.
--- a/bench/policy/Workload.h
+++ b/bench/policy/Workload.h
@@ -30,13 +30,13 @@
   std::size_t outputTokens = 0;
 };
 
-/// \brief A workload as its users tell it.
+/// \brief A workload as specified in its file.
 struct Workload {
   std::string name;
   std::vector<StreamSpec> streams;
 };
 
-/// \brief Reads a workload; faults are added with their place.
+/// \brief Reads a workload; errors are added with their locations.
 Workload readWorkload(const std::string& path, Hallchute::Findings& findings);
 
 /// \brief A session of requests whose prompts grow.
--- a/bench/slopes/main.cpp
+++ b/bench/slopes/main.cpp
@@ -84,7 +84,7 @@
       }
     }
   };
-  // Until the news of the start has died down.
+  // Until the updates caused by the start have been disseminated.
   run(Millis(60'000));
   bytes = 0;
   probes = 0;
--- a/standin/EngineStandin.cpp
+++ b/standin/EngineStandin.cpp
@@ -302,7 +302,7 @@
   sendJson(response, 200, answer);
 }
 
-/// Takes nothing new from now on and dies when the time is up.
+/// Accepts no new requests from now on; with \p die, exits after \p inMs.
 void EngineStandin::leave(int inMs, bool die) {
   const std::lock_guard lock(mutex_);
   leaving_ = true;
--- a/test/ForeignEntryTest.cpp
+++ b/test/ForeignEntryTest.cpp
@@ -2,10 +2,10 @@
 // SPDX-License-Identifier: Apache-2.0
 
 // Any program may write into the platform's store. An entry that no upstream wrote has members
-// missing or of another type, words that mean nothing, or no content that can be read. It names no
-// upstream, and must not hide those beside it. Before, a list with an item that is no object ended
-// the thread that had asked for it, and with it the daemon and every request it served; a number in
-// the place of a text was taken for one.
+// missing or of another type, unknown values, or no readable content. It names no upstream,
+// and must not hide the valid ones. Before, a list with an item that is not an object ended the
+// thread that had requested it, and with it the daemon and every request it served; a number in
+// place of a string was accepted as one.
 
 #include <Poco/Net/HTTPServerResponse.h>
 #include <cppunit/extensions/HelperMacros.h>
--- a/test/MembershipTest.cpp
+++ b/test/MembershipTest.cpp
@@ -159,7 +159,7 @@
       MemberState state;
       bool owns;
     };
-    // Heard in this order.
+    // Received in this order.
     const Case cases[] = {
         {5, MemberState::alive, true},  {5, MemberState::suspect, true},
         {5, MemberState::alive, true},  {5, MemberState::dead, false},
@@ -239,7 +239,7 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t(1), live(directory));
     directory.applyHostList(6, three, kStart);
     CPPUNIT_ASSERT_EQUAL(std::size_t(1), live(directory));
-    // An older list is not believed; a newer one that lacks b says that b is gone.
+    // An older list is ignored; a newer one without b means that b was removed.
     CPPUNIT_ASSERT(directory.applyHostList(4, {}, kStart).empty());
     const auto gone = directory.applyHostList(7, std::vector<HostListEntry>{host("a")}, kStart);
     CPPUNIT_ASSERT_EQUAL(std::size_t(1), gone.size());
--- a/test/TcpChannelTest.cpp
+++ b/test/TcpChannelTest.cpp
@@ -20,7 +20,7 @@
 
 constexpr Millis kLimit{200};
 
-/// Remembers what it was told, and aborts its channel when that ends.
+/// Records the callbacks, and aborts its channel when that ends.
 class Owner final : public TcpChannelOwner {
  public:
   void onChannelBytes(std::string_view bytes) override { received += bytes; }
@@ -87,7 +87,7 @@
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, sent);
   }
 
-  /// The kernel takes bytes that the other side has no room for; only their acknowledgement tells
+  /// The kernel takes bytes that the other side has no room for; only their acknowledgement shows
   /// that they arrived.
   void whatAPeerHasNoRoomForIsNotAcknowledged() {
     Poco::Net::ServerSocket listener;
@@ -130,7 +130,7 @@
     }
     return acknowledged;
   }
-  /// A channel whose end nobody tells would leave the test waiting for ever.
+  /// If the end of a channel is not reported, the test would wait for ever.
   static void awaitEnd(const Owner& owner) {
     const auto limit = std::chrono::steady_clock::now() + std::chrono::seconds(5);
     while (!owner.ended && std::chrono::steady_clock::now() < limit) {
--- a/test/TrafficContractTest.cpp
+++ b/test/TrafficContractTest.cpp
@@ -279,7 +279,7 @@
       caller.send(text);
       return caller.read("\r\n\r\n");
     };
-    // Nothing is known yet: a promise with when to come back.
+    // No settings are known yet: the refusal has a retry delay.
     std::string answer = ask(requestText("GET"));
     CPPUNIT_ASSERT_MESSAGE(answer, answer.starts_with("HTTP/1.1 503"));
     CPPUNIT_ASSERT(answer.find("Retry-After: 0.") != std::string::npos);
@@ -329,9 +329,9 @@
     waitUntil([&] { return upstream.cancelled() == 1; });
   }
 
-  /// A request that is sent into a cut waits in the kernel's queue and is dropped with its
+  /// A request sent into a partition waits in the kernel's queue and is dropped with its
   /// connection: nothing ran, however long its answer was waited for. Usage counted it as a run: of
-  /// 1141 requests told for a window around the cut of a domain 1048 had begun.
+  /// 1141 requests reported for a window around the partition of a domain, 1048 had started.
   void aRequestThatNeverArrivedIsNoRun() {
     struct Row {
       const char* story;
--- a/test/UpstreamRestartTest.cpp
+++ b/test/UpstreamRestartTest.cpp
@@ -2,10 +2,10 @@
 // SPDX-License-Identifier: Apache-2.0
 
 // An upstream that crashes may start again under the id that it had. The new process holds no
-// cache, runs none of the requests of before and has failed nothing: what was believed of the old
-// one must go. Before, an upstream that had said that it leaves was left alone for good after it
-// had started again, a shun earned by the crash kept work away from the new process, and requests
-// that the crash had broken off were taken off its load.
+// cache, runs none of the requests of before and has failed nothing: the state recorded for
+// the old one must be discarded. Before, an upstream that had announced its leave was never used
+// again after it had restarted, an ejection caused by the crash kept work away from the new
+// process, and requests that the crash had interrupted were subtracted from its load.
 
 #include <cppunit/extensions/HelperMacros.h>
 
@@ -109,7 +109,7 @@
     table.noteDispatched(kId, 700);
     table.replace(std::vector<UpstreamRecord>{record(200)}, at(500));
     table.noteDispatched(kId, 300);
-    // What the crash broke off ends later, and a peer's word on the old process comes late.
+    // Requests interrupted by the crash end later, and a peer's report on the old process is late.
     for (int i = 0; i < 3; ++i) table.noteEnded(kId, DispatchResult::broken, at(510), 100);
     table.notePromptDone(kId, 700, 100);
     table.noteDraining(kId, 100);
@@ -131,7 +131,8 @@
     CPPUNIT_ASSERT(pick(behind, 50) != nullptr);
   }
 
-  /// Its subjects come back to it, and it copies what it lacks from where they were meanwhile.
+  /// Its affinity keys return to it, and it copies the missing cache from the upstream that served
+  /// them meanwhile.
   void itsCacheIsEmpty() {
     UpstreamTable table;
     UpstreamRecord other = record(50);
--- a/test/scenario/Fleet.h
+++ b/test/scenario/Fleet.h
@@ -58,7 +58,7 @@
   std::vector<ServicePlan> services;
   bool links = false;
 
-  /// \brief Starts all processes, waits until they are ready and the settings are in force.
+  /// \brief Starts all processes, waits until they are ready and the settings are active.
   void start();
   Node& node(const std::string& name);
   bool has(const std::string& name) const { return nodes_.contains(name); }
