--- a/bench/load/main.cpp
+++ b/bench/load/main.cpp
@@ -43,7 +43,7 @@
 constexpr Millis kConnectLimit{2'000};
 constexpr Millis kAnswerLimit{30'000};
 
-/// What the requests of one kind came to. Any thread.
+/// Results of the requests of one kind. Updated from any thread.
 struct Tally {
   DurationHistogram firstToken;
   DurationHistogram gap;
@@ -54,7 +54,7 @@
   std::vector<double> firstTokens;
 };
 
-/// Notes the tokens of one answer as they come.
+/// Records the tokens of one answer as they arrive.
 class Watch {
  public:
   explicit Watch(Tally& tally) : tally_(tally), start_(Clock::now()) {}
@@ -150,7 +150,7 @@
 
 }  // namespace
 
-/// Open-loop load: requests start when their time has come, whatever became of earlier ones.
+/// Open-loop load: requests start at their scheduled times, regardless of earlier ones.
 int main(int argc, char** argv) {
   absl::ParseCommandLine(argc, argv);
   const std::vector<std::string> daemons = absl::StrSplit(absl::GetFlag(FLAGS_daemons), ',');
--- a/bench/policy/EngineFake.h
+++ b/bench/policy/EngineFake.h
@@ -13,14 +13,14 @@
 
 namespace Bench {
 
-/// \brief Our model of an engine that batches continuously.
+/// \brief A model of an engine with continuous batching.
 ///
 /// A step gives each decoding sequence a token and computes part of the waiting prompts:
 /// `stepMs + sequenceMs * decoding + prefillMs * prompt tokens`. Decoding slows as the batch grows,
-/// and long prompts slow everyone's tokens, as on a real accelerator. Running sequences pin their
-/// part of the cache memory (the defaults are those of a mid-range accelerator: 16,000 prompt
-/// tokens a second, memory for 160,000); what is left holds prefixes, least recently used out
-/// first.
+/// and long prompts slow the tokens of all sequences, as on a real accelerator. Running sequences
+/// pin their part of the cache memory (the defaults are those of a mid-range accelerator: 16,000
+/// prompt tokens a second, memory for 160,000); the rest caches prefixes, evicting the least
+/// recently used first.
 struct EngineParameters {
   double stepMs = 12;
   double sequenceMs = 0.3;
@@ -37,11 +37,11 @@
   std::size_t outputTokens = 0;
   /// Tokens already produced by another engine.
   std::size_t produced = 0;
-  /// Context that came with it and need not be computed.
+  /// Context that was imported with it and need not be computed.
   std::size_t importedTokens = 0;
 };
 
-/// \brief What a step gave.
+/// \brief The result of a step.
 struct StepResult {
   double endMs = 0;
   std::vector<std::uint64_t> tokens;
@@ -57,7 +57,7 @@
   void add(Sequence sequence);
   bool idle() const { return sequences_.empty(); }
   StepResult step(double nowMs);
-  /// \brief Takes a sequence away. \returns the tokens it has produced.
+  /// \brief Removes a sequence. \returns the tokens it has produced.
   std::size_t remove(std::uint64_t id);
   std::vector<std::uint64_t> running() const;
   std::size_t producedOf(std::uint64_t id) const { return sequences_.at(id).sequence.produced; }
--- a/bench/policy/Trial.cpp
+++ b/bench/policy/Trial.cpp
@@ -130,7 +130,7 @@
   Request& request = requests_[id];
   request.session = sessions_[session];
   request.arrivedMs = now_;
-  // Those that arrive near the end could not be done in time.
+  // Those that arrive near the end could not finish in time.
   request.counts = now_ >= spec_.warmUpMs && now_ < spec_.lengthMs - kQueueLimitMs;
   if (request.counts) {
     ++classOf(request).requests;
--- a/bench/policy/Trial.h
+++ b/bench/policy/Trial.h
@@ -22,7 +22,7 @@
 
 namespace Bench {
 
-/// \brief One experiment: a workload, a pool of engines, a policy, what happens to it.
+/// \brief One experiment: a workload, a pool of engines, a policy and the faults.
 struct TrialSpec {
   const Workload* workload = nullptr;
   std::size_t engines = 10;
@@ -45,7 +45,7 @@
   bool retryBudget = true;
 };
 
-/// \brief What became of one work class.
+/// \brief The results of one work class.
 struct ClassResult {
   std::size_t requests = 0;
   std::size_t refused = 0;
@@ -59,7 +59,7 @@
   double firstTokenQuantile(double q) const;
 };
 
-/// \brief What became of a trial.
+/// \brief The results of a trial.
 struct TrialResult {
   std::map<std::string, ClassResult> classes;
   std::map<std::string, ClassResult> organisations;
@@ -74,7 +74,7 @@
   double perSecond = 0;
 
   double recomputedPerThousand() const;
-  /// \brief Whether 95 in 100 first tokens and gaps of every class came in time.
+  /// \brief Whether 95 in 100 first tokens and gaps of every class met their targets.
   bool meetsTargets() const;
 };
 
--- a/bench/policy/main.cpp
+++ b/bench/policy/main.cpp
@@ -127,7 +127,7 @@
   }
 }
 
-/// The same pool for all, in quiet, with little cache, and through a wave.
+/// The same pool for all: under normal load, with little cache, and through a reclaim wave.
 void measureRecomputed(const Workload& workload, Report& report, bool wave) {
   for (const NamedPolicy& named : policies()) {
     for (const bool small : {false, true}) {
@@ -163,7 +163,7 @@
     Workload loaded = workload;
     for (StreamSpec& stream : loaded.streams) {
       if (stream.organisation == greedy) stream.sessionsPerSecond *= factor;
-      // The same class for both: only the shares tell them apart.
+      // The same class for both: only the shares distinguish them.
       stream.priority = 5;
     }
     TrialSpec spec = base(loaded, ours());
@@ -175,7 +175,7 @@
   }
 }
 
-/// Twice the load that the pool carries.
+/// Twice the load that the pool can serve.
 void measureOverload(const Workload& workload, Report& report) {
   for (const double scale : {1.0, 2.0, 4.0}) {
     TrialSpec spec = base(workload, ours());
--- a/bench/slopes/main.cpp
+++ b/bench/slopes/main.cpp
@@ -17,8 +17,8 @@
 #include "Hallchute/Recovery"
 #include "Hallchute/Settings"
 
-/// Measures the slopes that docs/CAPACITY.md multiplies up: processor time, bytes and memory of
-/// each role, as decision logic in one process. Prints one line a figure.
+/// Measures the slopes from which docs/CAPACITY.md extrapolates: processor time, bytes and
+/// memory of each role, as decision logic in one process. Prints one line per figure.
 
 namespace {
 
@@ -77,7 +77,7 @@
           target.receive(*asked, now);
           const std::string answer = pack(target.compose(now, asked->known));
           member->receive(*unpack<GossipMessage>(answer), now);
-          // Each message is sent by one daemon and received by another: both pay.
+          // Each message is sent by one daemon and received by another: both incur its cost.
           bytes += 2.0 * static_cast<double>(question.size() + answer.size());
           ++probes;
         }
--- a/standin/EngineStandin.h
+++ b/standin/EngineStandin.h
@@ -17,7 +17,7 @@
 
 namespace Standin {
 
-/// \brief How fast an engine is and how much it holds.
+/// \brief Speed and capacity of an engine.
 struct EngineModel {
   /// Time per token of a stream while few run.
   double gapMs = 10;
@@ -39,7 +39,7 @@
  private:
   struct Generation;
 
-  /// What it does wrong at present.
+  /// The faults currently injected.
   struct Faults {
     /// Ends streams after so many more tokens without an end mark.
     int cutAfter = -1;
--- a/standin/LinkStandin.cpp
+++ b/standin/LinkStandin.cpp
@@ -107,7 +107,7 @@
       if (fds[1].revents != 0 && !pump(to, from)) return;
     }
   } catch (const Poco::Exception&) {
-    // Either end is gone: both are closed.
+    // Either end has closed: both are closed.
   }
 }
 
--- a/standin/LinkStandin.h
+++ b/standin/LinkStandin.h
@@ -19,7 +19,7 @@
 /// \brief The network between processes: forwards TCP, and cuts it between places.
 ///
 /// A route listens at one address and forwards to another. A place is the start of an IP, as
-/// `127.1.1.`; a cut between two places silences the bytes of their connections, both ways, and
+/// `127.1.1.`; a cut between two places stops the bytes of their connections, both ways, and
 /// keeps them open, as a broken network does.
 class LinkStandin {
  public:
--- a/standin/PlatformStandin.h
+++ b/standin/PlatformStandin.h
@@ -26,7 +26,7 @@
   };
   using Objects = std::map<std::string, Entry>;
 
-  /// What it does wrong at present.
+  /// The faults currently injected.
   struct Faults {
     bool outage = false;
     bool hang = false;
@@ -38,7 +38,7 @@
   void setFaults(const Poco::JSON::Object::Ptr& json);
   void setHosts(const Poco::JSON::Object::Ptr& json);
   void notice(const Poco::JSON::Object::Ptr& json);
-  /// \returns whether the request may go on.
+  /// \returns whether to continue with the request.
   bool suffer(const Request& request, Poco::Net::HTTPServerResponse& response);
   void objects(const Request& request, Poco::Net::HTTPServerResponse& response,
                const std::string& key);
@@ -52,7 +52,7 @@
   std::condition_variable changed_;
   std::uint64_t version_ = 0;
   Objects objects_;
-  /// What reads see while the platform shows older data.
+  /// What reads return while the platform serves older data.
   Objects old_;
   bool showOld_ = false;
   std::uint64_t hostsVersion_ = 1;
--- a/standin/StandinServer.h
+++ b/standin/StandinServer.h
@@ -34,7 +34,7 @@
 using Handler =
     std::function<void(const Request& request, Poco::Net::HTTPServerResponse& response)>;
 
-/// \brief Serves HTTP while it lives.
+/// \brief Serves HTTP until it is destroyed.
 class StandinServer {
  public:
   /// \param listen `ip:port`; port 0 takes one from the operating system.
--- a/test/scenario/Caller.cpp
+++ b/test/scenario/Caller.cpp
@@ -31,7 +31,7 @@
   return passed.count();
 }
 
-/// The prompt as the daemon puts it before the engine.
+/// The prompt as the daemon sends it to the engine.
 std::string enginePrompt(const std::string& prompt) {
   return "user: " + prompt + "\n";
 }
@@ -122,7 +122,7 @@
   }
 }
 
-/// \returns whether it is worth to come back again.
+/// \returns whether another attempt is worthwhile.
 bool Caller::resume(std::size_t attempt) {
   if (result_.request.empty()) return false;
   std::this_thread::sleep_for(kComeBackPause);
--- a/test/scenario/Caller.h
+++ b/test/scenario/Caller.h
@@ -19,7 +19,7 @@
 struct CallPlan {
   /// `chat` or `order`.
   std::string kind = "chat";
-  /// Caller addresses of daemons: the first is called, the others are where it comes back.
+  /// Caller addresses of daemons: the first is called, the others are for reconnecting.
   std::vector<std::string> daemons;
   std::string token;
   std::string service;
@@ -28,7 +28,7 @@
   std::size_t tokens = 20;
   bool stream = true;
   bool async = false;
-  /// Comes back elsewhere when it is told to or its connection breaks.
+  /// Reconnects to another daemon when redirected or when its connection breaks.
   bool follow = false;
   /// An order that was refused as not run is sent again after its Retry-After.
   bool retry = false;
@@ -36,7 +36,7 @@
   std::string body;
 };
 
-/// \brief What one caller got.
+/// \brief What one caller received.
 struct CallResult {
   int status = 0;
   std::string outcome;
@@ -44,7 +44,7 @@
   std::string request;
   std::string problem;
   bool done = false;
-  /// The daemon said that the answer goes on elsewhere.
+  /// The daemon reported that another daemon continues the answer.
   bool moved = false;
   int resumptions = 0;
   double firstTokenMs = 0;
@@ -66,7 +66,7 @@
   std::size_t received() const { return received_; }
   /// \brief The result; only after finished().
   const CallResult& result() const { return result_; }
-  /// \brief Whether the answer is the whole answer to the own prompt, byte for byte.
+  /// \brief Whether the answer is the complete answer to its own prompt, byte for byte.
   bool whole() const;
 
  private:
--- a/test/scenario/Expectations.cpp
+++ b/test/scenario/Expectations.cpp
@@ -12,7 +12,7 @@
 #include "test/scenario/Wait.h"
 
 /// \file
-/// \brief The verbs that say what must hold, and the values they ask for.
+/// \brief The verbs that check conditions, and the values they query.
 
 namespace Scenario {
 namespace {
@@ -208,7 +208,7 @@
   return result;
 }
 
-/// `started ID tokens=N`: every caller of ID has got so many tokens.
+/// `started ID tokens=N`: every caller of ID has received at least N tokens.
 void Runner::started(const Step& step) {
   const int tokens = step.number("tokens", 1);
   for (const Caller* caller : callersOf(word(step, 1))) {
@@ -221,7 +221,7 @@
   }
 }
 
-/// `no-new-work NODE after=MARK within=MS`: the last work began at most so long after the mark.
+/// `no-new-work NODE after=MARK within=MS`: the last work began at most that long after the mark.
 void Runner::noNewWork(const Step& step) {
   const double last =
       fleet_.control(word(step, 1), "/control/counts", "{}")->getValue<double>("lastStartMs");
@@ -248,7 +248,7 @@
     for (Node* node : fleet_.all(Kind::daemon)) {
       const JsonObject status = parse(fleet_.operatorGet(node->name, "/status"));
       if (!status || !status->has("settingsRevision")) continue;
-      // A daemon that starts anew begins at nothing: it is another life.
+      // A restarted daemon begins without a revision: it is another incarnation.
       const std::string life =
           node->name + "#" + status->getObject("daemon")->get("incarnation").toString();
       const auto seen = status->getValue<double>("settingsRevision");
--- a/test/scenario/Fleet.cpp
+++ b/test/scenario/Fleet.cpp
@@ -33,7 +33,7 @@
 
 Fleet::Fleet(std::string binaries, std::string work)
     : binaries_(std::move(binaries)), work_(std::move(work)) {
-  // Runners side by side must not share addresses.
+  // Concurrent runners must not share addresses.
   const auto pid = static_cast<unsigned>(getpid());
   net_ = "127." + std::to_string(1 + pid % 253) + ".";
 }
--- a/test/scenario/Fleet.h
+++ b/test/scenario/Fleet.h
@@ -14,7 +14,7 @@
 
 namespace Scenario {
 
-/// \brief What stands behind a name of the scenario.
+/// \brief The kind of process that a name of the scenario denotes.
 enum class Kind { platform, link, daemon, engine, plain };
 
 /// \brief A process of the fleet, running or not.
@@ -28,7 +28,7 @@
   std::string address;
   std::string operatorAddress;
   std::string peerAddress;
-  /// Where others reach it, if a link stands between; else `address` or `peerAddress`.
+  /// Where others reach it if there is a link between them; else `address` or `peerAddress`.
   std::string reached;
   std::vector<std::string> command;
   std::unique_ptr<ChildProcess> process;
@@ -68,12 +68,12 @@
   /// \brief POSTs JSON to a stand-in's control path. \returns the answer.
   Hallchute::JsonObject control(const std::string& name, const std::string& path,
                                 const std::string& json);
-  /// \brief GETs from a daemon's operator address. \returns null if it gives no answer.
+  /// \brief GETs from a daemon's operator address. \returns null if there is no response.
   std::string operatorGet(const std::string& name, const std::string& path);
   /// \brief POSTs to a daemon's operator address. \returns status and body, status 0 for none.
   std::pair<int, std::string> operatorPost(const std::string& name, const std::string& path,
                                            const std::string& body);
-  /// \brief Puts a host into the platform's list; negative \p leavesInMs: it stays.
+  /// \brief Adds a host to the platform's list; negative \p leavesInMs: it stays.
   void listHost(const Node& node, int leavesInMs);
   std::string placeOf(const std::string& domainOrPlatform) const;
   const std::string& binaries() const { return binaries_; }
--- a/test/scenario/Runner.cpp
+++ b/test/scenario/Runner.cpp
@@ -43,7 +43,7 @@
 Runner::~Runner() {
   watching_ = false;
   if (revisionWatch_.joinable()) revisionWatch_.join();
-  // Callers whose daemons are gone come to an end: their connections close.
+  // Callers end when their daemons are killed: their connections close.
   for (Node* node : fleet_.all(Kind::daemon)) {
     if (node->process) node->process->kill();
   }
@@ -136,7 +136,7 @@
   }
 }
 
-// What fails.
+// Faults.
 
 void Runner::kill(const Step& step) {
   fleet_.kill(word(step, 1));
@@ -173,7 +173,7 @@
   fleet_.control(word(step, 1), "/control/faults", jsonOf(step.options));
 }
 
-/// The process dies when its time is up, whether it was ready or not.
+/// Kills the process after \p inMs, whether it is ready or not.
 void Runner::leaveAt(const std::string& name, int inMs) {
   later_.emplace_back([this, name, inMs] {
     std::this_thread::sleep_for(Millis(inMs));
@@ -224,7 +224,7 @@
   require(status == 202, "the daemon answered " + std::to_string(status));
 }
 
-// What is asked.
+// Requests.
 
 CallPlan Runner::planCall(const Step& step, int number) {
   CallPlan plan;
@@ -300,7 +300,7 @@
   require(status == 0, "the command ended with status " + std::to_string(status));
 }
 
-/// Puts the address of a process in the place of its name in braces.
+/// Replaces the name of a process in braces by its address.
 std::string Runner::withAddresses(std::string text) {
   for (std::size_t open = text.find('{'); open != std::string::npos; open = text.find('{')) {
     const std::size_t close = text.find('}', open);
--- a/test/scenario/Runner.h
+++ b/test/scenario/Runner.h
@@ -43,7 +43,7 @@
   void plain(const Step& step);
   void links(const Step& step);
   void startVerb(const Step& step);
-  // What fails.
+  // Faults.
   void kill(const Step& step);
   void stop(const Step& step);
   void freeze(const Step& step);
@@ -57,7 +57,7 @@
   void hostList(const Step& step);
   void operatorLeave(const Step& step);
   void drain(const Step& step);
-  // What is asked.
+  // Requests.
   void send(const Step& step);
   void apply(const Step& step);
   void cli(const Step& step);
@@ -66,7 +66,7 @@
   void raw(const Step& step);
   void mark(const Step& step);
   void storm(const Step& step);
-  // What must hold.
+  // Expectations.
   void expect(const Step& step);
   void show(const Step& step);
   void eventually(const Step& step);
@@ -88,7 +88,7 @@
   std::map<std::string, std::vector<std::unique_ptr<Caller>>> callers_;
   std::map<std::string, std::pair<int, std::string>> applied_;
   std::map<std::string, double> marks_;
-  /// Connections that were opened and left silent.
+  /// Connections that were opened and left idle.
   std::vector<Poco::Net::StreamSocket> silent_;
   std::vector<std::thread> later_;
   std::vector<std::thread> applying_;
--- a/test/scenario/Script.cpp
+++ b/test/scenario/Script.cpp
@@ -32,7 +32,7 @@
   return words;
 }
 
-/// A word is an option if a plain name stands before its first `=`.
+/// A word is an option if a plain name precedes its first `=`.
 std::size_t optionSplit(const std::string& word) {
   const std::size_t equals = word.find('=');
   if (equals == std::string::npos || equals == 0) return std::string::npos;
--- a/test/scenario/Script.h
+++ b/test/scenario/Script.h
@@ -22,7 +22,7 @@
   int number(const std::string& name, int fallback) const;
 };
 
-/// \brief Reads a script. Lines that are empty or start with `#` are left out; a value may stand in
+/// \brief Reads a script. Lines that are empty or start with `#` are skipped; a value may be set in
 /// single quotes. Throws an error that names file and line.
 std::vector<Step> readScript(const std::string& path);
 
--- a/test/scenario/StepTools.h
+++ b/test/scenario/StepTools.h
@@ -11,7 +11,7 @@
 #include "test/scenario/Script.h"
 
 /// \file
-/// \brief What the verbs of a scenario share.
+/// \brief Helpers shared by the verbs of a scenario.
 
 namespace Scenario {
 
--- a/test/scenario/Storm.cpp
+++ b/test/scenario/Storm.cpp
@@ -15,7 +15,7 @@
 constexpr int kParallel = 16;
 constexpr int kKeyRepeats = 3;
 
-/// How the answers of a storm of orders came out.
+/// Counts of the outcomes of a storm of orders.
 struct Tally {
   int confirmed = 0;
   int notRun = 0;
@@ -39,7 +39,7 @@
 
 /// `storm orders=N seed=S via=A,B,..`: N orders, each key sent up to three times through any of
 /// the daemons, while the platform and the service suffer random faults and daemons are frozen and
-/// killed. No key may run twice, and a key that was confirmed once is confirmed alike ever after.
+/// killed. No key may run twice, and a key that was confirmed once is confirmed alike from then on.
 void Runner::storm(const Step& step) {
   std::mt19937 random(static_cast<unsigned>(step.number("seed", 1)));
   const int orders = step.number("orders", 1'000);
--- a/test/scenario/Wait.h
+++ b/test/scenario/Wait.h
@@ -11,7 +11,7 @@
 
 namespace Scenario {
 
-/// \brief Asks \p condition again and again until it holds.
+/// \brief Polls \p condition until it holds.
 /// \returns the time it took. Throws an error that names \p what when \p limit has passed.
 Hallchute::Millis waitFor(const std::string& what, Hallchute::Millis limit,
                           const std::function<bool()>& condition);
