--- a/bench/slopes/main.cpp
+++ b/bench/slopes/main.cpp
@@ -44,7 +44,7 @@
   std::fflush(stdout);
 }
 
-/// Daemons that exchange packed batches in virtual time.
+/// Daemons that exchange encoded gossip messages in virtual time.
 void membership(int domains, int perDomain, bool restarts) {
   const double heapBefore = heapBytes();
   std::map<std::string, std::unique_ptr<Membership>> members;
--- a/test/LogTest.cpp
+++ b/test/LogTest.cpp
@@ -89,7 +89,7 @@
       log4cxx::BasicConfigurator::resetConfiguration();
       CPPUNIT_ASSERT(!blocked);
     }
-    // What the pipe and the buffer hold comes out whole, the rest was given up.
+    // What the pipe and the buffer hold is written completely; the rest was dropped.
     const std::string first = written.substr(0, written.find('\n'));
     CPPUNIT_ASSERT_MESSAGE(first, first.find("\"event\":\"test.line\"") != std::string::npos);
     CPPUNIT_ASSERT(written.size() < std::size_t{kLines} * first.size());
--- a/test/MembershipTest.cpp
+++ b/test/MembershipTest.cpp
@@ -24,7 +24,7 @@
   return made;
 }
 
-/// Members that exchange batches directly, in virtual time. Those cut off answer nothing.
+/// Members that exchange gossip messages directly, in virtual time. Partitioned ones do not answer.
 class Group {
  public:
   explicit Group(int size) {
@@ -64,7 +64,7 @@
     }
   }
 
-  /// How many members see so many owners.
+  /// Number of members that see this many owners.
   std::size_t agreeing(std::size_t owners) {
     std::size_t count = 0;
     for (auto& [name, member] : members_) {
--- a/test/ObjectFollowerTest.cpp
+++ b/test/ObjectFollowerTest.cpp
@@ -77,7 +77,7 @@
     follower.start();
     while (source.lists < 1) std::this_thread::yield();
     std::this_thread::sleep_for(Millis(50));
-    // It may lack what was added lately, and doesn't speak for the store.
+    // The list may lack recent additions, and doesn't prove that the store is available.
     CPPUNIT_ASSERT(!follower.inContact());
     follower.setMode(FollowMode::off);
     follower.stop();
--- a/test/PeerTransportTest.cpp
+++ b/test/PeerTransportTest.cpp
@@ -46,7 +46,7 @@
   std::thread thread_;
 };
 
-/// Sends one message and gives what came first: the answer, or the word `closed`.
+/// Sends one message and returns what came first: the answer, or `closed`.
 std::string ask(Peer& from, const std::string& address, const std::string& path,
                 const std::string& message) {
   auto answer = std::make_shared<std::promise<std::string>>();
--- a/test/RequestStoryTest.cpp
+++ b/test/RequestStoryTest.cpp
@@ -30,7 +30,7 @@
     story.addLine("12.3 host-b " +
                   line("05.900", "b", "request.end", R"(,"request":"abc","status":503)"));
     story.addLine(line("05.100", "a", "upstream.failed", R"(,"request":"abc","sent":false)"));
-    // What the daemon had just learned, what it learned long before, and what another one did.
+    // The daemon's recent state changes, much earlier ones, and events of another daemon.
     story.addLine(line("04.500", "a", "store.lost", R"(,"follows":"settings")"));
     story.addLine(line("01.000", "a", "store.regained", R"(,"follows":"settings")"));
     story.addLine(line("05.050", "c", "store.lost", ""));
--- a/test/ScriptedUpstream.cpp
+++ b/test/ScriptedUpstream.cpp
@@ -24,7 +24,7 @@
   return head.substr(start, head.find("\r\n", start) - start);
 }
 
-/// Takes one request off the front of \p in; empty if it is not whole.
+/// Removes one request from the front of \p in; empty if it is incomplete.
 std::string takeRequest(std::string& in) {
   const std::size_t headEnd = in.find("\r\n\r\n");
   if (headEnd == std::string::npos) return {};
--- a/test/ScriptedUpstream.h
+++ b/test/ScriptedUpstream.h
@@ -24,7 +24,7 @@
 };
 
 /// \brief A TCP server that answers the n-th request with the n-th script, byte for byte, and the
-/// last script ever after. A thread a connection; loopback only.
+/// last script from then on. One thread per connection; loopback only.
 class ScriptedUpstream {
  public:
   explicit ScriptedUpstream(std::vector<UpstreamScript> scripts);
@@ -33,7 +33,7 @@
   ScriptedUpstream& operator=(const ScriptedUpstream&) = delete;
 
   std::string address() const { return listener_.address().toString(); }
-  /// \brief The requests so far, whole.
+  /// \brief The complete requests received so far.
   std::vector<std::string> requests() const;
   /// \brief Connections that the other side ended while a script hung.
   int cancelled() const { return cancelled_; }
--- a/test/TrafficContractTest.cpp
+++ b/test/TrafficContractTest.cpp
@@ -307,7 +307,7 @@
     answer = ask(requestText("GET", key));
     CPPUNIT_ASSERT_MESSAGE(answer, answer.starts_with("HTTP/1.1 429"));
     CPPUNIT_ASSERT(answer.find("Retry-After: ") != std::string::npos);
-    // Settings that may be old must not deny what newer ones may allow.
+    // Possibly stale settings must not deny what newer ones may allow.
     rig.loop().call([&] { rig.engine().setSettingsMayBeStale(true); });
     answer = ask(requestText("GET", "Authorization: Bearer nobody\r\n"));
     CPPUNIT_ASSERT_MESSAGE(answer, answer.starts_with("HTTP/1.1 503"));
@@ -421,7 +421,7 @@
     settings.organisations = {organisation};
     return settings;
   }
-  /// Requests that the rig counted as begun, of all windows.
+  /// Requests that the rig counted as started, in all windows.
   static std::uint64_t runsOf(GatewayRig& rig) {
     std::uint64_t runs = 0;
     rig.loop().call([&] {
@@ -447,7 +447,7 @@
     Route route = plainRoute(row.kind);
     route.resumable = row.resumable;
     rig.setSettings(settingsWith(route));
-    // The own failure domain goes first, so that the first script is asked first.
+    // The own failure domain is preferred, so that the first script gets the first request.
     UpstreamRecord farther = upstreamAt("i-2", second.address());
     farther.domain = FailureDomainName("d2");
     rig.setUpstreams({upstreamAt("i-1", first.address()), farther});
--- a/test/UpstreamRestartTest.cpp
+++ b/test/UpstreamRestartTest.cpp
@@ -96,7 +96,7 @@
     const std::vector<UpstreamId> ended =
         table.replace(std::vector<UpstreamRecord>{record(200)}, at(200));
     CPPUNIT_ASSERT(ended == std::vector<UpstreamId>{kId});
-    // A list that doesn't tell: the process known last stays.
+    // A list without incarnations: the last known process is kept.
     CPPUNIT_ASSERT(table.replace(std::vector<UpstreamRecord>{record(0)}, at(400)).empty());
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{200}, table.entries().at(kId).record.incarnation);
     // Lists only get newer: a lower number is a start after the host's clock was set back.
