--- a/bench/policy/Trial.h
+++ b/bench/policy/Trial.h
@@ -22,7 +22,7 @@
 
 namespace Bench {
 
-/// \brief One experiment: a workload, a pool of engines, a policy, what happens to it.
+/// \brief One experiment: a workload, a pool of engines, a policy and the faults.
 struct TrialSpec {
   const Workload* workload = nullptr;
   std::size_t engines = 10;
@@ -33,11 +33,11 @@
   double warmUpMs = 30'000;
   double scale = 1;
   std::uint64_t seed = 1;
-  /// Engines that get a reclaim notice at waveAtMs and die waveNoticeMs later.
+  /// Engines that get a reclaim notice at waveAtMs and stop waveNoticeMs later.
   std::size_t waveEngines = 0;
   double waveAtMs = 90'000;
   double waveNoticeMs = 10'000;
-  /// Whether work on leaving engines moves by planMigrations(), or is recomputed when they die.
+  /// Whether work on leaving engines moves by planMigrations(), or is recomputed when they stop.
   bool plannedMoves = true;
   double transferTokensPerSecond = 200'000;
   /// Engines that refuse connections throughout.
@@ -45,7 +45,7 @@
   bool retryBudget = true;
 };
 
-/// \brief What became of one work class.
+/// \brief The results of one work class.
 struct ClassResult {
   std::size_t requests = 0;
   std::size_t refused = 0;
@@ -59,7 +59,7 @@
   double firstTokenQuantile(double q) const;
 };
 
-/// \brief What became of a trial.
+/// \brief The results of a trial.
 struct TrialResult {
   std::map<std::string, ClassResult> classes;
   std::map<std::string, ClassResult> organisations;
@@ -74,7 +74,7 @@
   double perSecond = 0;
 
   double recomputedPerThousand() const;
-  /// \brief Whether 95 in 100 first tokens and gaps of every class came in time.
+  /// \brief Whether 95 in 100 first tokens and gaps of every class met their targets.
   bool meetsTargets() const;
 };
 
--- a/bench/slopes/main.cpp
+++ b/bench/slopes/main.cpp
@@ -17,8 +17,8 @@
 #include "Hallchute/Recovery"
 #include "Hallchute/Settings"
 
-/// Measures the slopes that docs/CAPACITY.md multiplies up: processor time, bytes and memory of
-/// each role, as decision logic in one process. Prints one line a figure.
+/// Measures the slopes from which docs/CAPACITY.md extrapolates: processor time, bytes and
+/// memory of each role, as decision logic in one process. Prints one line per figure.
 
 namespace {
 
@@ -44,7 +44,7 @@
   std::fflush(stdout);
 }
 
-/// Daemons that exchange packed batches in virtual time.
+/// Daemons that exchange encoded gossip messages in virtual time.
 void membership(int domains, int perDomain, bool restarts) {
   const double heapBefore = heapBytes();
   std::map<std::string, std::unique_ptr<Membership>> members;
@@ -77,14 +77,14 @@
           target.receive(*asked, now);
           const std::string answer = pack(target.compose(now, asked->known));
           member->receive(*unpack<GossipMessage>(answer), now);
-          // Each message is sent by one daemon and received by another: both pay.
+          // Each message is sent by one daemon and received by another: both incur its cost.
           bytes += 2.0 * static_cast<double>(question.size() + answer.size());
           ++probes;
         }
       }
     }
   };
-  // Until the news of the start has died down.
+  // Until the updates caused by the start have been disseminated.
   run(Millis(60'000));
   bytes = 0;
   probes = 0;
--- a/test/TrafficContractTest.cpp
+++ b/test/TrafficContractTest.cpp
@@ -279,7 +279,7 @@
       caller.send(text);
       return caller.read("\r\n\r\n");
     };
-    // Nothing is known yet: a promise with when to come back.
+    // No settings are known yet: the refusal has a retry delay.
     std::string answer = ask(requestText("GET"));
     CPPUNIT_ASSERT_MESSAGE(answer, answer.starts_with("HTTP/1.1 503"));
     CPPUNIT_ASSERT(answer.find("Retry-After: 0.") != std::string::npos);
@@ -307,7 +307,7 @@
     answer = ask(requestText("GET", key));
     CPPUNIT_ASSERT_MESSAGE(answer, answer.starts_with("HTTP/1.1 429"));
     CPPUNIT_ASSERT(answer.find("Retry-After: ") != std::string::npos);
-    // Settings that may be old must not deny what newer ones may allow.
+    // Possibly stale settings must not deny what newer ones may allow.
     rig.loop().call([&] { rig.engine().setSettingsMayBeStale(true); });
     answer = ask(requestText("GET", "Authorization: Bearer nobody\r\n"));
     CPPUNIT_ASSERT_MESSAGE(answer, answer.starts_with("HTTP/1.1 503"));
@@ -329,9 +329,9 @@
     waitUntil([&] { return upstream.cancelled() == 1; });
   }
 
-  /// A request that is sent into a cut waits in the kernel's queue and is dropped with its
+  /// A request sent into a partition waits in the kernel's queue and is dropped with its
   /// connection: nothing ran, however long its answer was waited for. Usage counted it as a run: of
-  /// 1141 requests told for a window around the cut of a domain 1048 had begun.
+  /// 1141 requests reported for a window around the partition of a domain, 1048 had started.
   void aRequestThatNeverArrivedIsNoRun() {
     struct Row {
       const char* story;
@@ -421,7 +421,7 @@
     settings.organisations = {organisation};
     return settings;
   }
-  /// Requests that the rig counted as begun, of all windows.
+  /// Requests that the rig counted as started, in all windows.
   static std::uint64_t runsOf(GatewayRig& rig) {
     std::uint64_t runs = 0;
     rig.loop().call([&] {
@@ -447,7 +447,7 @@
     Route route = plainRoute(row.kind);
     route.resumable = row.resumable;
     rig.setSettings(settingsWith(route));
-    // The own failure domain goes first, so that the first script is asked first.
+    // The own failure domain is preferred, so that the first script gets the first request.
     UpstreamRecord farther = upstreamAt("i-2", second.address());
     farther.domain = FailureDomainName("d2");
     rig.setUpstreams({upstreamAt("i-1", first.address()), farther});
